--- a/src/main/java/fordridge/model/DecayingScore.java
+++ b/src/main/java/fordridge/model/DecayingScore.java
@@ -7,7 +7,7 @@
   private double value;
   private Duration updatedAt = Duration.ZERO;
 
-  /** The score at that time, which must not be before the last addition. */
+  /** The score at a time, which must not be before the last addition. */
   public double at(Duration now, Duration halfLife) {
     if (value == 0) {
       return 0;
@@ -16,13 +16,13 @@
     return value * Math.pow(2, -age / Durations.toSeconds(halfLife));
   }
 
-  /** Adds to the score at that time. */
+  /** Adds to the score at a time, which must not be before the last addition. */
   public void add(double amount, Duration now, Duration halfLife) {
     value = at(now, halfLife) + amount;
     updatedAt = now;
   }
 
-  /** Sets it to 0. */
+  /** Resets the score to 0. */
   public void clear() {
     value = 0;
   }
--- a/src/main/java/fordridge/model/Durations.java
+++ b/src/main/java/fordridge/model/Durations.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * Arithmetic on spans of time in double precision.
+ * Arithmetic on durations in double precision.
  *
- * <p>{@link Duration}'s own products and quotients go through big decimals, which is too slow where
- * each machine of a fleet is looked at.
+ * <p>The multiplication and division of {@link Duration} use {@code BigDecimal}, which is too slow
+ * for computations per machine of a fleet.
  */
 public final class Durations {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -18,12 +18,12 @@
     return duration.toNanos() / NANOS_PER_SECOND;
   }
 
-  /** A span of so many seconds, cut to whole nanoseconds. */
+  /** A duration of the given number of seconds, truncated to whole nanoseconds. */
   public static Duration ofSeconds(double seconds) {
     return Duration.ofNanos((long) (seconds * NANOS_PER_SECOND));
   }
 
-  /** The span times a factor, cut to whole nanoseconds. */
+  /** The duration times a factor, truncated to whole nanoseconds. */
   public static Duration scale(Duration duration, double factor) {
     return Duration.ofNanos((long) (duration.toNanos() * factor));
   }
--- a/src/main/java/fordridge/model/FleetUsage.java
+++ b/src/main/java/fordridge/model/FleetUsage.java
@@ -3,36 +3,43 @@
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 
-/** Means over the machines that are live, and what was learned of the use of requests. */
+/** Means over the live machines, and the learned use of requested resources. */
 public final class FleetUsage {
-  /** Used cores and memory of this scheduler's VMs, as a share of what they request. */
+  /** Mean used cores of this scheduler's VMs, as a share of the requested cores. */
   public RunningMean usedCoresRatio;
 
+  /** The same for memory. */
   public RunningMean usedMemoryRatio;
 
   /** Share of the machines that have a fresh load report. */
   public double reportingShare;
 
-  /** Mean share of cores and memory in use on machines with a fresh report; NaN before. */
+  /** Mean share of cores in use on machines with a fresh report; NaN before the first refresh. */
   public double meanUsedCores = Double.NaN;
 
+  /** The same for memory. */
   public double meanUsedMemory = Double.NaN;
 
   /**
-   * Use per requested core and per requested memory on these machines; what was learned of our own
-   * VMs where nothing is requested there.
+   * Used cores per requested core on machines with a fresh report, or {@link #usedCoresRatio} if
+   * nothing is requested there.
    */
   public double usedPerRequestedCore;
 
+  /** The same for memory. */
   public double usedPerRequestedMemory;
 
-  /** Cores requested on all machines. */
+  /** Cores requested on all live machines. */
   public double requestedCores;
 
-  /** Mean severity of faults. */
+  /** Mean fault severity of the live machines. */
   public double meanFaultSeverity;
 
-  /** Takes the means anew; {@code reporting} are those of the live machines with a fresh report. */
+  /**
+   * Recomputes the means.
+   *
+   * @param reporting the live machines that have a fresh report
+   */
   public void refresh(
       List<Machine> live,
       List<Machine> reporting,
@@ -42,9 +49,11 @@
     requestedCores = MachineLists.mean(live, Machine::requestedCores) * live.size();
     meanUsedCores = MachineLists.mean(reporting, m -> usedCores.applyAsDouble(m) / m.cores);
     meanUsedMemory = MachineLists.mean(reporting, m -> usedMemory.applyAsDouble(m) / m.memory);
-    double cores = MachineLists.mean(reporting, m -> 1 - m.freeCores / m.cores);
-    double memory = MachineLists.mean(reporting, m -> 1 - m.freeMemory / m.memory);
-    usedPerRequestedCore = cores > 0 ? meanUsedCores / cores : usedCoresRatio.value();
-    usedPerRequestedMemory = memory > 0 ? meanUsedMemory / memory : usedMemoryRatio.value();
+    double meanRequestedCores = MachineLists.mean(reporting, m -> 1 - m.freeCores / m.cores);
+    double meanRequestedMemory = MachineLists.mean(reporting, m -> 1 - m.freeMemory / m.memory);
+    usedPerRequestedCore =
+        meanRequestedCores > 0 ? meanUsedCores / meanRequestedCores : usedCoresRatio.value();
+    usedPerRequestedMemory =
+        meanRequestedMemory > 0 ? meanUsedMemory / meanRequestedMemory : usedMemoryRatio.value();
   }
 }
--- a/src/main/java/fordridge/model/GossipCodec.java
+++ b/src/main/java/fordridge/model/GossipCodec.java
@@ -4,11 +4,11 @@
 import java.util.zip.CRC32;
 
 /**
- * The text form of {@link GossipMessage}: three characters name the machine, one printable
- * character each holds a figure.
+ * Encodes {@link GossipMessage}s as text: three characters for the machine's short name, then one
+ * printable character per value.
  *
- * <p>Gossip is paid by the byte at each receiver, so the kind of a message shows only in its
- * length: none, one or two figures.
+ * <p>Gossip is priced per byte at each receiver, so messages contain no type: it follows from their
+ * length, as the types have no, one and two values.
  */
 public final class GossipCodec {
   private static final char FIRST_DIGIT = '!';
@@ -18,46 +18,46 @@
   private GossipCodec() {}
 
   /**
-   * The short name of a machine: a hash of its id. Where two machines have the same name, messages
-   * on neither are used.
+   * The short name of a machine, a hash of its id. Messages about machines that share a name are
+   * ignored.
    */
   public static String machineName(long id) {
     CRC32 crc = new CRC32();
     crc.update(ByteBuffer.allocate(Long.BYTES).putLong(id).array());
-    long rest = crc.getValue();
+    long remaining = crc.getValue();
     StringBuilder name = new StringBuilder(NAME_LENGTH);
     for (int i = 0; i < NAME_LENGTH; i++) {
-      name.append(digit((int) (rest % DIGITS)));
-      rest /= DIGITS;
+      name.append(digit((int) (remaining % DIGITS)));
+      remaining /= DIGITS;
     }
     return name.toString();
   }
 
-  /** Tells that a machine does not respond. */
+  /** Encodes that a machine does not respond. */
   public static String unreachable(Machine machine) {
     return machineName(machine.id);
   }
 
-  /** Tells that a machine rejects VMs of the tenant class with that index. */
+  /** Encodes that a machine rejects VMs of the tenant class with that index. */
   public static String tenantClassRejected(Machine machine, int tenantClass) {
     return machineName(machine.id) + digit(tenantClass);
   }
 
-  /** Tells the last load report of a machine. */
+  /** Encodes the last load report of a machine. */
   public static String loadReported(Machine machine) {
     char usedCores = share(1 - machine.spareCores / machine.cores);
     char usedMemory = share(1 - machine.spareMemory / machine.memory);
     return machineName(machine.id) + usedCores + usedMemory;
   }
 
-  /** Reads a message; null if it is none. */
+  /** Decodes a message; null if its length is not that of a message. */
   public static GossipMessage decode(String text) {
-    int figures = text.length() - NAME_LENGTH;
-    if (figures < 0 || figures > 2) {
+    int valueCount = text.length() - NAME_LENGTH;
+    if (valueCount < 0 || valueCount > 2) {
       return null;
     }
     String name = text.substring(0, NAME_LENGTH);
-    return switch (figures) {
+    return switch (valueCount) {
       case 0 -> new GossipMessage.Unreachable(name);
       case 1 -> new GossipMessage.TenantClassRejected(name, value(text.charAt(NAME_LENGTH)));
       default ->
@@ -66,12 +66,12 @@
     };
   }
 
-  /** The character for a whole number; numbers out of range become the nearest that is in it. */
+  /** Encodes a whole number as one character; numbers out of range are clamped. */
   public static char digit(int number) {
     return (char) (FIRST_DIGIT + Math.max(0, Math.min(number, DIGITS - 1)));
   }
 
-  /** The character for a share from 0 to 1. */
+  /** Encodes a share from 0 to 1 as one character. */
   public static char share(double share) {
     return digit((int) Math.round(share * (DIGITS - 1)));
   }
--- a/src/main/java/fordridge/model/HostedService.java
+++ b/src/main/java/fordridge/model/HostedService.java
@@ -2,11 +2,11 @@
 
 import java.time.Duration;
 
-/** VMs of one service that this scheduler has at one machine, in flight or running. */
+/** The VMs of one service that this scheduler has in flight or running at one machine. */
 public final class HostedService {
-  /** How many there are now. */
+  /** Current number of these VMs. */
   public int count;
 
-  /** When the last of them came or went. */
+  /** When such a VM was last added or removed. */
   public Duration lastHostedAt;
 }
--- a/src/main/java/fordridge/model/Machine.java
+++ b/src/main/java/fordridge/model/Machine.java
@@ -7,16 +7,17 @@
 import java.util.Set;
 
 /**
- * A machine as this scheduler knows it.
+ * One scheduler's view of a machine.
  *
- * <p>Belongs to the thread that calls the scheduler. Times are spans since that thread's clock
- * began; null means never, unless said otherwise. Cores and memory are in the machine list's units.
+ * <p>Confined to the thread that calls the scheduler. Times are durations since the start of that
+ * thread's clock; null means never unless stated otherwise. Cores and memory are in the machine
+ * list's units.
  */
 public final class Machine {
-  /** What the machine list says of a machine's life. */
+  /** The life cycle state of a machine in the machine list. */
   public enum Lifecycle {
     LIVE,
-    /** Runs what it has and takes no more. */
+    /** Keeps its VMs running and accepts no more. */
     DRAINING,
     GONE
   }
@@ -29,57 +30,60 @@
   public String kind = "";
   public int cell;
 
-  /** Size, by its kind. */
+  /** Size by its kind: cores, and {@link #memory}. */
   public double cores;
 
   public double memory;
 
-  /** Size less what all VMs there request; below 0 where more is accepted than it has. */
+  /** Size less the cores that all VMs there request; negative if these exceed the size. */
   public double freeCores;
 
   public double freeMemory;
 
-  /** When it came up, null where that is not known. */
+  /** When it started, null if that is not known. */
   public Duration startedAt;
 
-  /** When a list last named it; null while a complete list that has not named it is coming. */
+  /**
+   * When a list last named it; null while a complete list is being received that has not named it
+   * yet.
+   */
   public Duration listedAt;
 
   /** Whether any list has named it. */
   public boolean isListed;
 
-  // From its last load report; NaN where it does not say.
+  // From its last load report; NaN where a value was not reported.
   public double spareCores = Double.NaN;
   public double spareMemory = Double.NaN;
 
-  /** Share of the cores that is busy. */
+  /** Busy share of the cores. */
   public double utilization = Double.NaN;
 
   public Duration reportedAt;
 
-  /** When any scheduler last gossiped a report of it, as far as known. */
+  /** When a report of it was last gossiped, by this scheduler or, as far as known, any other. */
   public Duration gossipedAt;
 
   public Duration probedAt;
   public boolean isProbing;
 
   // Attempts of this scheduler.
-  /** Attempts that the free capacity of the machine list may not include yet. */
+  /** Attempts that the free capacity in the machine list may not reflect yet. */
   public final ReservationLedger reservedSinceList = new ReservationLedger();
 
-  /** Attempts whose use the load reports may not include yet. */
+  /** Attempts whose use the load reports may not reflect yet. */
   public final ReservationLedger reservedSinceReport = new ReservationLedger();
 
-  /** Attempts without a response, oldest first. */
+  /** Attempts without a response yet, oldest first. */
   public final Set<PlacementAttempt> unansweredAttempts = new LinkedHashSet<>();
 
   /** Attempts in flight or running. */
   public final Set<PlacementAttempt> hostedAttempts = new LinkedHashSet<>();
 
-  /** By service. */
+  /** This scheduler's VMs at the machine, by service. */
   public final Map<Long, HostedService> hostedServices = new HashMap<>();
 
-  /** Attempts that were sent while it warmed up. */
+  /** Attempts counted against its slow-start quota. */
   public final SlidingWindow slowStartAttempts = new SlidingWindow();
 
   public Duration lastAttemptAt;
@@ -87,24 +91,24 @@
   // Health.
   public final DecayingScore faultScore = new DecayingScore();
 
-  /** No attempt is sent before this time. */
+  /** Earliest time of the next attempt. */
   public Duration ejectedUntil = Duration.ZERO;
 
   private final Map<TenantClass, RejectionBackoff> rejectionBackoffs = new HashMap<>();
 
-  // Scratch values of the placement that is being decided.
-  /** Capacity found for the VM, in cores. */
+  // Temporary values of the placement decision in progress.
+  /** Free capacity found for the VM, in cores. */
   public double headroomCores;
 
-  /** Its rank for the VM's service, see {@link RendezvousHashing}. */
+  /** Rank of the machine for the VM's service, see {@link RendezvousHashing}. */
   long hashRank;
 
-  /** A machine that no list has named yet. */
+  /** Creates a machine that no list has named yet. */
   public Machine(long id) {
     this.id = id;
   }
 
-  /** The backoff for VMs of that tenant class, which begins with no span. */
+  /** The backoff for VMs of the tenant class; a new one has a zero span. */
   public RejectionBackoff rejectionBackoff(TenantClass tenantClass) {
     return rejectionBackoffs.computeIfAbsent(tenantClass, key -> new RejectionBackoff());
   }
@@ -114,22 +118,22 @@
     return !rejectionBackoffs.isEmpty();
   }
 
-  /** Sends no attempt before that time, or the later one that was set before. */
+  /** Ejects the machine until the given time at least; a later end that is already set stays. */
   public void ejectUntil(Duration time) {
     ejectedUntil = Durations.max(ejectedUntil, time);
   }
 
-  /** Whether any scheduler gossiped a report of it less than that span ago. */
+  /** Whether a report of it was gossiped less than the span ago. */
   public boolean wasGossipedWithin(Duration span, Duration now) {
     return gossipedAt != null && now.minus(gossipedAt).compareTo(span) < 0;
   }
 
-  /** Cores that all VMs there request. */
+  /** Cores requested by all VMs on the machine. */
   public double requestedCores() {
     return cores - freeCores;
   }
 
-  /** Memory that all VMs there request. */
+  /** Memory requested by all VMs on the machine. */
   public double requestedMemory() {
     return memory - freeMemory;
   }
@@ -139,13 +143,13 @@
     return lifecycle == Lifecycle.LIVE && cores > 0;
   }
 
-  /** Takes the size of its kind. */
+  /** Sets the size to that of a kind. */
   public void resize(MachineKind size) {
     cores = size.cores();
     memory = size.memory();
   }
 
-  /** Takes over a load report that another scheduler gossiped. */
+  /** Enters a load report that another scheduler gossiped. */
   public void loadGossiped(GossipMessage.LoadReported load, Duration now) {
     spareCores = (1 - load.usedCores()) * cores;
     spareMemory = (1 - load.usedMemory()) * memory;
@@ -154,7 +158,7 @@
     gossipedAt = now;
   }
 
-  /** Forgets services that it hosted before, as after a restart. */
+  /** Removes services that it no longer hosts; a restarted machine is not warm for them. */
   public void forgetPastServices() {
     hostedServices.values().removeIf(service -> service.count == 0);
   }
--- a/src/main/java/fordridge/model/MachineKind.java
+++ b/src/main/java/fordridge/model/MachineKind.java
@@ -1,7 +1,7 @@
 package fordridge.model;
 
-/** A kind of machine by its name in the machine list, and its size; memory in the list's unit. */
+/** A kind of machine: its name in the machine list and its size, with memory in the list's unit. */
 public record MachineKind(String name, double cores, double memory) {
-  /** What a machine of a kind without settings counts as: it fits no VM. */
+  /** The kind of machines whose kind is not in the settings; no VM fits on them. */
   public static final MachineKind UNKNOWN = new MachineKind("", 0, 0);
 }
--- a/src/main/java/fordridge/model/MachineLists.java
+++ b/src/main/java/fordridge/model/MachineLists.java
@@ -5,51 +5,51 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 
-/** Selections and sums over lists of machines; the order of machines is kept. */
+/** Selections from lists of machines, which keep the order, and sums over them. */
 public final class MachineLists {
   private MachineLists() {}
 
-  /** Those that match, or all of them where none does. */
+  /** The machines that match, or all of them if none does. */
   public static List<Machine> prefer(List<Machine> machines, Predicate<Machine> condition) {
     List<Machine> preferred = new ArrayList<>(machines);
     preferred.removeIf(condition.negate());
     return preferred.isEmpty() ? machines : preferred;
   }
 
-  /** Those that match. */
+  /** The machines that match. */
   public static List<Machine> filter(List<Machine> machines, Predicate<Machine> condition) {
     return machines.stream().filter(condition).toList();
   }
 
-  /** The mean of a figure, 0 for no machines. */
-  public static double mean(List<Machine> machines, ToDoubleFunction<Machine> figure) {
-    return machines.stream().mapToDouble(figure).average().orElse(0);
+  /** The mean of a value, 0 for no machines. */
+  public static double mean(List<Machine> machines, ToDoubleFunction<Machine> value) {
+    return machines.stream().mapToDouble(value).average().orElse(0);
   }
 
-  /** The least of a figure, 0 for no machines. */
-  public static double min(List<Machine> machines, ToDoubleFunction<Machine> figure) {
-    return machines.stream().mapToDouble(figure).min().orElse(0);
+  /** The smallest value, 0 for no machines. */
+  public static double min(List<Machine> machines, ToDoubleFunction<Machine> value) {
+    return machines.stream().mapToDouble(value).min().orElse(0);
   }
 
-  /** Their headroom in all, in cores. */
+  /** The total headroom of the machines, in cores. */
   public static double totalHeadroom(List<Machine> machines) {
     return machines.stream().mapToDouble(machine -> machine.headroomCores).sum();
   }
 
-  /** One of them, drawn by headroom; null for no machines. */
+  /** Draws a machine with probability in proportion to headroom; null for no machines. */
   public static Machine drawByHeadroom(List<Machine> machines, SeededRandom random) {
-    double rest = random.next() * totalHeadroom(machines);
+    double remaining = random.next() * totalHeadroom(machines);
     Machine drawn = null;
-    for (int i = 0; i < machines.size() && rest >= 0; i++) {
+    for (int i = 0; i < machines.size() && remaining >= 0; i++) {
       drawn = machines.get(i);
-      rest -= drawn.headroomCores;
+      remaining -= drawn.headroomCores;
     }
     return drawn;
   }
 
   /**
-   * Those with a share of their size free; the share of each is kept as its {@link
-   * Machine#headroomCores}.
+   * The machines that have a free share above 0; sets the {@link Machine#headroomCores} of each
+   * machine to that share of its cores.
    */
   public static List<Machine> withHeadroom(
       List<Machine> machines, ToDoubleFunction<Machine> freeShare) {
--- a/src/main/java/fordridge/model/PendingQueue.java
+++ b/src/main/java/fordridge/model/PendingQueue.java
@@ -11,19 +11,20 @@
 import java.util.function.Consumer;
 
 /**
- * VMs that wait for capacity: in groups of one shape, ordered by rank and age, and by the time at
- * which each is due.
+ * VMs that wait for capacity: grouped by shape, with the groups in order of rank and age, and also
+ * ordered by the time at which each VM is due.
  */
 public final class PendingQueue {
   /**
-   * What VMs of one group have in common.
+   * The properties that all VMs of a group share.
    *
    * @param tenantClass their tenant and priority class
-   * @param cores cores that they request
-   * @param memory memory that they request
-   * @param service their service, 0 where any will do
-   * @param boundTo an earlier machine, or a VM that is a group of its own, or null
-   * @param isLate whether their starts come late in any case
+   * @param cores requested cores
+   * @param memory requested memory
+   * @param service their service, 0 if it does not affect placement
+   * @param boundTo the machine that the next attempt must not use, or a VM that forms a group of
+   *     its own, or null
+   * @param isLate whether their starts are late in any case
    */
   public record Shape(
       TenantClass tenantClass,
@@ -32,12 +33,13 @@
       long service,
       Object boundTo,
       boolean isLate) {
-    /** The shape of a VM by what it requests. */
+    /** The shape of a VM, taking tenant class and requested resources from it. */
     public static Shape of(Vm vm, long service, Object boundTo, boolean isLate) {
       return new Shape(vm.tenantClass(), vm.cores, vm.memory, service, boundTo, isLate);
     }
 
-    // Written out, as the generated methods are linked at run time, which delays the first use.
+    // Written by hand: the generated methods of a record are linked at run time, which delays the
+    // first use.
     @Override
     public boolean equals(Object other) {
       return other instanceof Shape that
@@ -60,12 +62,12 @@
     }
   }
 
-  /** VMs of one shape, oldest first; its age is that of the oldest. */
+  /** The VMs of one shape, oldest first; a group is as old as its oldest VM. */
   private static final class Group {
     private final Shape shape;
     private final int rank;
     private final Set<Vm> vms = new LinkedHashSet<>();
-    private long age;
+    private long oldestSequenceNumber;
 
     private Group(Shape shape, int rank) {
       this.shape = shape;
@@ -73,77 +75,81 @@
     }
   }
 
-  /** Where a VM is in the queue. */
+  /** The position of a VM in the queue. */
   static final class Entry {
     private final Group group;
-    private final long number;
+    private final long sequenceNumber;
     private final Duration dueAt;
 
-    private Entry(Group group, long number, Duration dueAt) {
+    private Entry(Group group, long sequenceNumber, Duration dueAt) {
       this.group = group;
-      this.number = number;
+      this.sequenceNumber = sequenceNumber;
       this.dueAt = dueAt;
     }
   }
 
   private static final Comparator<Group> BY_RANK_AND_AGE =
-      Comparator.<Group>comparingInt(group -> -group.rank).thenComparingLong(group -> group.age);
+      Comparator.<Group>comparingInt(group -> -group.rank)
+          .thenComparingLong(group -> group.oldestSequenceNumber);
 
   private static final Comparator<Vm> BY_DUE_TIME =
       Comparator.<Vm, Duration>comparing(vm -> vm.pendingEntry.dueAt)
-          .thenComparingLong(vm -> vm.pendingEntry.number);
+          .thenComparingLong(vm -> vm.pendingEntry.sequenceNumber);
 
   private final Map<Shape, Group> groups = new HashMap<>();
-  private final TreeSet<Group> order = new TreeSet<>(BY_RANK_AND_AGE);
+  private final TreeSet<Group> groupsInOrder = new TreeSet<>(BY_RANK_AND_AGE);
   private final TreeSet<Vm> byDueTime = new TreeSet<>(BY_DUE_TIME);
-  private long added;
+  private long nextSequenceNumber;
 
-  /** Whether no VM waits. */
+  /** Whether the queue is empty. */
   public boolean isEmpty() {
     return byDueTime.isEmpty();
   }
 
-  /** How many VMs wait. */
+  /** Number of VMs in the queue. */
   public int size() {
     return byDueTime.size();
   }
 
-  /** Adds a VM that is not in the queue; VMs of one shape must have one rank. */
+  /** Adds a VM that is not in the queue; all VMs of a shape must have the same rank. */
   public void add(Vm vm, int rank, Shape shape, Duration dueAt) {
     Group group = groups.computeIfAbsent(shape, key -> new Group(key, rank));
-    vm.pendingEntry = new Entry(group, added++, dueAt);
+    vm.pendingEntry = new Entry(group, nextSequenceNumber++, dueAt);
     if (group.vms.isEmpty()) {
-      group.age = vm.pendingEntry.number;
-      order.add(group);
+      group.oldestSequenceNumber = vm.pendingEntry.sequenceNumber;
+      groupsInOrder.add(group);
     }
     group.vms.add(vm);
     byDueTime.add(vm);
   }
 
-  /** Takes a VM out, if it is in the queue. */
+  /** Removes a VM if it is in the queue. */
   public void remove(Vm vm) {
     if (vm.pendingEntry == null || !byDueTime.remove(vm)) {
       return;
     }
     Group group = vm.pendingEntry.group;
-    order.remove(group);
+    groupsInOrder.remove(group);
     group.vms.remove(vm);
     if (group.vms.isEmpty()) {
       groups.remove(group.shape);
     } else {
-      group.age = group.vms.iterator().next().pendingEntry.number;
-      order.add(group);
+      group.oldestSequenceNumber = group.vms.iterator().next().pendingEntry.sequenceNumber;
+      groupsInOrder.add(group);
     }
   }
 
-  /** Takes out the VM that is due first; the queue must not be empty. */
+  /** Removes and returns the VM that is due first; the queue must not be empty. */
   public Vm takeFirst() {
     Vm vm = byDueTime.first();
     remove(vm);
     return vm;
   }
 
-  /** Takes out VMs that are due, the first first; {@code action} may add them again. */
+  /**
+   * Removes the VMs that are due, in the order in which they became due, and passes each to {@code
+   * action}, which may add it again.
+   */
   public void takeAllDue(Duration now, Consumer<Vm> action) {
     while (!byDueTime.isEmpty() && byDueTime.first().pendingEntry.dueAt.compareTo(now) <= 0) {
       action.accept(takeFirst());
@@ -151,18 +157,18 @@
   }
 
   /**
-   * The oldest VM of the group that comes, by rank and then age, after the one that this VM was in;
-   * of the first group for null. A group whose VM was taken out meanwhile comes again in the place
-   * of its next oldest.
+   * Returns the oldest VM of the group that follows, by rank and then age, the position of the
+   * given VM, or of the first group if the VM is null; null if there is none. If that VM has been
+   * removed, its group now has the position of its next oldest VM and so is visited again.
    */
   public Vm next(Vm vm) {
     Group group;
     if (vm == null) {
-      group = order.isEmpty() ? null : order.first();
+      group = groupsInOrder.isEmpty() ? null : groupsInOrder.first();
     } else {
-      Group position = new Group(null, vm.pendingEntry.group.rank);
-      position.age = vm.pendingEntry.number;
-      group = order.higher(position);
+      Group lowerBound = new Group(null, vm.pendingEntry.group.rank);
+      lowerBound.oldestSequenceNumber = vm.pendingEntry.sequenceNumber;
+      group = groupsInOrder.higher(lowerBound);
     }
     return group == null ? null : group.vms.iterator().next();
   }
--- a/src/main/java/fordridge/model/PlacementAttempt.java
+++ b/src/main/java/fordridge/model/PlacementAttempt.java
@@ -2,25 +2,27 @@
 
 import java.time.Duration;
 
-/** One offer of a VM to a machine, from its sending to its outcome; null times mean not yet. */
+/**
+ * One offer of a VM to a machine, from sending to outcome. Times are null until the event happens.
+ */
 public final class PlacementAttempt {
   /** How an attempt ended. */
   public enum Outcome {
-    /** The VM ran to its end. */
+    /** The VM ran and ended. */
     DONE("done"),
-    /** The machine failed to start it; it may have run. */
+    /** The machine failed to start the VM, which may have run. */
     ERROR("error"),
-    /** The machine rejected it; it never ran. */
+    /** The machine rejected the VM, which never ran. */
     FULL("full"),
-    /** No response within the attempt's timeout; it may run. */
+    /** No response within the attempt's timeout; the VM may run. */
     TIMEOUT("timeout"),
-    /** No connection to the machine; it never ran. */
+    /** No connection to the machine; the VM never ran. */
     UNREACHABLE("unreachable"),
-    /** The connection or the VM was lost; it may have run. */
+    /** The connection or the VM was lost; the VM may have run. */
     RESET("reset"),
-    /** Cancelled by the scheduler or stopped by its client. */
+    /** Cancelled by the scheduler, or the VM was stopped by its client. */
     CANCELLED("cancelled"),
-    /** Ended before it was sent; it never ran. */
+    /** The attempt ended before it was sent; the VM never ran. */
     NOT_SENT("moot");
 
     private final String metricTag;
@@ -29,13 +31,16 @@
       this.metricTag = metricTag;
     }
 
-    /** The value of the tag {@code kind} of the counter of outcomes, which stays as it is. */
+    /**
+     * The value of the tag {@code kind} of the counter of outcomes, which is part of the metrics
+     * interface.
+     */
     public String metricTag() {
       return metricTag;
     }
   }
 
-  /** Why an attempt ended so, where the machine says. */
+  /** The reason for an outcome, if the machine gives one. */
   public enum OutcomeReason {
     UNSPECIFIED,
     INSUFFICIENT_CORES,
@@ -47,7 +52,8 @@
     DRAINED;
 
     /**
-     * Whether only a VM that has run ends for this reason: one that has to go before is rejected.
+     * Whether this reason can only end a VM that has run; a VM that has not run yet is rejected
+     * instead.
      */
     public boolean isOfRunningVm() {
       return this == EVICTED || this == PREEMPTED || this == DRAINED;
@@ -57,35 +63,35 @@
   public final Vm vm;
   public final Machine machine;
 
-  /** Its index among the VM's attempts. */
+  /** Index of this attempt among the VM's attempts. */
   public final int number;
 
   public final Duration sentAt;
 
-  /** How long its response is waited for. */
+  /** How long to wait for the response. */
   public Duration timeout = Duration.ZERO;
 
-  /** When it was last counted against the quota of a machine in slow start, or null. */
+  /** When it was last counted against the slow-start quota of its machine, or null. */
   public Duration slowStartCountedAt;
 
   public Duration acceptedAt;
 
-  /** When the VM was reported to run. */
+  /** When the VM was reported as running. */
   public Duration runningSince;
 
-  /** Whether the machine had the program of the VM's service when it was sent. */
+  /** Whether the machine hosted the VM's service, now or recently, when the attempt was sent. */
   public boolean isWarmStart;
 
   /**
-   * Whether it ended by a conclusion of this scheduler, without a word of its machine: its VM may
-   * run there all the same.
+   * Whether the scheduler ended the attempt without its machine's confirmation, so that the VM may
+   * still run there.
    */
   public boolean mayStillRun;
 
-  /** Null while in flight or running. */
+  /** The outcome, null while the attempt is in flight or its VM runs. */
   public Outcome outcome;
 
-  /** An attempt that is sent now. */
+  /** Creates an attempt that is sent now. */
   public PlacementAttempt(Vm vm, Machine machine, int number, Duration sentAt) {
     this.vm = vm;
     this.machine = machine;
@@ -93,7 +99,7 @@
     this.sentAt = sentAt;
   }
 
-  /** The attempt by which a VM runs that some earlier scheduler placed. */
+  /** Creates the attempt of a running VM that is adopted from an earlier scheduler. */
   public static PlacementAttempt adopted(Vm vm, Machine machine, Duration now) {
     PlacementAttempt attempt = new PlacementAttempt(vm, machine, 0, now);
     attempt.acceptedAt = now;
@@ -103,22 +109,22 @@
     return attempt;
   }
 
-  /** Whether its outcome proves that the VM never ran by it. */
+  /** Whether the outcome proves that this attempt never ran the VM. */
   public boolean hasNeverRun() {
     return outcome == Outcome.FULL || outcome == Outcome.UNREACHABLE || outcome == Outcome.NOT_SENT;
   }
 
-  /** Whether the machine accepted it. */
+  /** Whether the machine accepted the attempt. */
   public boolean wasAccepted() {
     return acceptedAt != null;
   }
 
-  /** Whether its VM was reported to run before that time. */
+  /** Whether the VM was reported as running before the given time. */
   public boolean ranBefore(Duration time) {
     return runningSince != null && runningSince.compareTo(time) < 0;
   }
 
-  /** Whether it has no outcome yet. */
+  /** Whether the attempt has no outcome yet; also true while its VM runs. */
   public boolean isInFlight() {
     return outcome == null;
   }
--- a/src/main/java/fordridge/model/PriorityClass.java
+++ b/src/main/java/fordridge/model/PriorityClass.java
@@ -3,21 +3,21 @@
 import java.time.Duration;
 
 /**
- * Settings of a priority class.
+ * The settings of a priority class.
  *
- * @param name as requests name it
- * @param rank higher goes first
+ * @param name the name that requests use
+ * @param rank VMs of a higher rank are placed first
  * @param retrySafety whether a VM may be offered again after an attempt that may have run
- * @param idempotencyScope where an idempotency key is known
- * @param deduplicationWindow for how long after the first attempt the key is known
+ * @param idempotencyScope the domain whose machines share their idempotency keys
+ * @param deduplicationWindow how long after the first attempt the key is kept
  * @param startObjective latency objective of a start, from request to running
- * @param startDeadline the start deadline: the client gives up after it
- * @param requiredKind the only kind of machine that will do, or null
- * @param spreadDomain where the number of VMs of one service is limited
- * @param maxPerDomain that limit
- * @param fullSpeedUtilization up to this utilization of cores VMs run at full speed
- * @param degradationSpan utilization past that at which nothing is left of their speed
- * @param startValueSeconds what a start is worth, in seconds of running
+ * @param startDeadline time after which the client gives up
+ * @param requiredKind the only kind of machine that the VMs can run on, or null
+ * @param spreadDomain domain in which the number of VMs of one service is limited
+ * @param maxPerDomain highest number of VMs of one service in a spread domain
+ * @param fullSpeedUtilization core utilization of a machine up to which VMs run at full speed
+ * @param degradationSpan further utilization over which their speed falls to 0
+ * @param startValueSeconds value of a start, in seconds of running
  */
 public record PriorityClass(
     String name,
@@ -34,28 +34,28 @@
     double degradationSpan,
     double startValueSeconds) {
 
-  /** Whether a machine of that kind will do. */
+  /** Whether its VMs can run on machines of the kind. */
   public boolean allowsKind(String kind) {
     return requiredKind == null || requiredKind.equals(kind);
   }
 
-  /** Whether VMs of one service may be anywhere. */
+  /** Whether the number of VMs of a service is not limited in any domain. */
   public boolean isSpreadUnlimited() {
     return spreadDomain == TopologyDomain.NONE;
   }
 
-  /** Whether its idempotency keys are known on all machines. */
+  /** Whether all machines of the cluster share its idempotency keys. */
   public boolean isIdempotentWithKeyAnywhere() {
     return retrySafety == RetrySafety.IDEMPOTENT_WITH_KEY
         && idempotencyScope == TopologyDomain.CLUSTER;
   }
 
-  /** Whether it may run at most once, even with a key. */
+  /** Whether a VM must not be offered again after an attempt that may have run it. */
   public boolean isNonIdempotent() {
     return retrySafety == RetrySafety.NON_IDEMPOTENT;
   }
 
-  /** Whether a VM may be offered again whatever became of its earlier attempts. */
+  /** Whether a VM may be offered again whatever the outcome of its earlier attempts. */
   public boolean isIdempotent() {
     return retrySafety == RetrySafety.IDEMPOTENT;
   }
--- a/src/main/java/fordridge/model/PriorityClassState.java
+++ b/src/main/java/fordridge/model/PriorityClassState.java
@@ -1,30 +1,30 @@
 package fordridge.model;
 
-/** A priority class with its settings of now and what was learned of its VMs. */
+/** A priority class with its current settings and values learned from its VMs. */
 public final class PriorityClassState {
-  /** The settings of now. */
+  /** The current settings. */
   public PriorityClass settings;
 
   /** How long its VMs run, in seconds. */
   public final RunningMean lifetimeSeconds;
 
-  /** Requests received, retries of clients among them. */
-  public double requests;
+  /** Number of requests received, including retries by clients. */
+  public double requestCount;
 
   private final RunningMean warmStartSeconds;
   private final RunningMean coldStartSeconds;
 
-  /** A class with guesses, which weigh as much as {@code window} samples. */
+  /** Creates a class with initial estimates, which weigh as much as {@code window} samples. */
   public PriorityClassState(
       int window, double lifetimeSeconds, double warmStartSeconds, double coldStartSeconds) {
-    this.lifetimeSeconds = RunningMean.ofPrior(lifetimeSeconds, window);
-    this.warmStartSeconds = RunningMean.ofPrior(warmStartSeconds, window);
-    this.coldStartSeconds = RunningMean.ofPrior(coldStartSeconds, window);
+    this.lifetimeSeconds = RunningMean.withPrior(lifetimeSeconds, window);
+    this.warmStartSeconds = RunningMean.withPrior(warmStartSeconds, window);
+    this.coldStartSeconds = RunningMean.withPrior(coldStartSeconds, window);
   }
 
   /**
-   * How long a start takes, in seconds: a warm one where the machine has the program of the
-   * service, a cold one where it must fetch it first.
+   * The mean duration of a start in seconds: a warm one on a machine that has the service's
+   * program, or a cold one on a machine that has to fetch the program first.
    */
   public RunningMean startSeconds(boolean isWarm) {
     return isWarm ? warmStartSeconds : coldStartSeconds;
--- a/src/main/java/fordridge/model/RejectionBackoff.java
+++ b/src/main/java/fordridge/model/RejectionBackoff.java
@@ -2,18 +2,21 @@
 
 import java.time.Duration;
 
-/** For how long VMs of one tenant and priority class stay away from a machine that rejects them. */
+/** Backoff of the VMs of one tenant class from a machine that rejected one of them. */
 public final class RejectionBackoff {
-  /** The current span, which grows with each rejection and shrinks with each acceptance. */
+  /**
+   * Current length of the backoff, which grows with each rejection and shrinks with each
+   * acceptance.
+   */
   public Duration span = Duration.ZERO;
 
-  /** No attempt is sent before this time. */
+  /** Earliest time of the next attempt. */
   public Duration until = Duration.ZERO;
 
-  /** When the machine last accepted one since the last rejection, or null. */
+  /** When the machine last accepted such a VM, null if it has not since the last rejection. */
   public Duration acceptedAt;
 
-  /** Goes on until that time at least. */
+  /** Extends the backoff until the given time at least. */
   public void extendUntil(Duration time) {
     until = Durations.max(until, time);
   }
--- a/src/main/java/fordridge/model/RendezvousHashing.java
+++ b/src/main/java/fordridge/model/RendezvousHashing.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Rendezvous hashing: the machines that rank first for a service, which are the same at each
- * scheduler without their talking to each other.
+ * Rendezvous hashing: ranks machines for a service in the same way at each scheduler, without
+ * communication between schedulers.
  */
 public final class RendezvousHashing {
   private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
@@ -13,30 +13,30 @@
   private RendezvousHashing() {}
 
   /**
-   * At most {@code limit} machines, the first of them first. One pass that keeps no more than
-   * these, as it runs for each placement.
+   * Returns the {@code limit} highest ranked machines, highest first. Selects them in one pass
+   * without sorting all machines, as it runs for each placement.
    */
-  public static List<Machine> first(long service, List<Machine> machines, int limit) {
-    List<Machine> first = new ArrayList<>(limit + 1);
+  public static List<Machine> highestRanked(long service, List<Machine> machines, int limit) {
+    List<Machine> ranked = new ArrayList<>(limit + 1);
     for (Machine machine : machines) {
       machine.hashRank = mix(service * GOLDEN_GAMMA + machine.id);
-      int index = first.size();
-      while (index > 0 && first.get(index - 1).hashRank < machine.hashRank) {
+      int index = ranked.size();
+      while (index > 0 && ranked.get(index - 1).hashRank < machine.hashRank) {
         index--;
       }
       if (index < limit) {
-        first.add(index, machine);
-        if (first.size() > limit) {
-          first.remove(limit);
+        ranked.add(index, machine);
+        if (ranked.size() > limit) {
+          ranked.remove(limit);
         }
       }
     }
-    return first;
+    return ranked;
   }
 
   /**
-   * The finisher of SplitMix64. A CRC would not do: it is linear, and gives each machine the same
-   * neighbours for every service.
+   * The finalizer of SplitMix64. A CRC is not suitable: as it is linear, each machine would have
+   * the same neighbours in the ranking of every service.
    */
   private static long mix(long value) {
     long mixed = (value ^ (value >>> 30)) * 0xBF58476D1CE4E5B9L;
--- a/src/main/java/fordridge/model/ReservationLedger.java
+++ b/src/main/java/fordridge/model/ReservationLedger.java
@@ -6,18 +6,18 @@
 import java.util.Iterator;
 import java.util.function.Predicate;
 
-/** Attempts at one machine with the resources that they request, oldest first, and their sums. */
+/** Resources reserved at one machine by attempts, which are kept oldest first. */
 public final class ReservationLedger {
   private final Deque<PlacementAttempt> attempts = new ArrayDeque<>();
   private double cores;
   private double memory;
 
-  /** Requested cores of all attempts in it. */
+  /** Total cores that the attempts request. */
   public double cores() {
     return cores;
   }
 
-  /** Requested memory of all attempts in it. */
+  /** Total memory that the attempts request. */
   public double memory() {
     return memory;
   }
@@ -27,33 +27,33 @@
     return attempts.isEmpty();
   }
 
-  /** Reserves what the attempt requests. */
+  /** Reserves the resources that an attempt requests. */
   public void add(PlacementAttempt attempt) {
     attempts.addLast(attempt);
     cores += attempt.vm.cores;
     memory += attempt.vm.memory;
   }
 
-  /** Releases an attempt, if it is reserved. */
+  /** Releases the reservation of an attempt, if there is one. */
   public void remove(PlacementAttempt attempt) {
     if (attempts.remove(attempt)) {
       release(attempt);
     }
   }
 
-  /** Releases attempts that were sent before that time. */
+  /** Releases the reservations of attempts that were sent before the given time. */
   public void removeSentBefore(Duration time) {
     while (!attempts.isEmpty() && attempts.peekFirst().sentAt.compareTo(time) < 0) {
       release(attempts.removeFirst());
     }
   }
 
-  /** Releases attempts that match. */
+  /** Releases the reservations of attempts that match. */
   public void removeIf(Predicate<PlacementAttempt> condition) {
-    for (Iterator<PlacementAttempt> all = attempts.iterator(); all.hasNext(); ) {
-      PlacementAttempt attempt = all.next();
+    for (Iterator<PlacementAttempt> iterator = attempts.iterator(); iterator.hasNext(); ) {
+      PlacementAttempt attempt = iterator.next();
       if (condition.test(attempt)) {
-        all.remove();
+        iterator.remove();
         release(attempt);
       }
     }
--- a/src/main/java/fordridge/model/RunningMean.java
+++ b/src/main/java/fordridge/model/RunningMean.java
@@ -1,8 +1,8 @@
 package fordridge.model;
 
 /**
- * A mean that follows its samples: plain over the first ones, exponentially weighted once a window
- * of them was seen.
+ * A running mean: the arithmetic mean of the samples up to the window's length, exponentially
+ * weighted after that.
  */
 public final class RunningMean {
   private final int window;
@@ -15,22 +15,22 @@
     this.samples = samples;
   }
 
-  /** A mean whose first sample replaces the guess. */
-  public static RunningMean ofGuess(double guess, int window) {
-    return new RunningMean(guess, window, 0);
+  /** Creates a mean whose first sample replaces the initial value. */
+  public static RunningMean withInitialValue(double initialValue, int window) {
+    return new RunningMean(initialValue, window, 0);
   }
 
-  /** A mean whose guess weighs as much as a window of samples. */
-  public static RunningMean ofPrior(double guess, int window) {
-    return new RunningMean(guess, window, window);
+  /** Creates a mean whose prior weighs as much as a window of samples. */
+  public static RunningMean withPrior(double prior, int window) {
+    return new RunningMean(prior, window, window);
   }
 
-  /** The mean, or the guess before the first sample. */
+  /** The mean; before the first sample, the initial value. */
   public double value() {
     return value;
   }
 
-  /** Adds a sample; one that is not finite is passed over. */
+  /** Adds a sample; one that is not finite is ignored. */
   public void add(double sample) {
     if (Double.isFinite(sample)) {
       samples++;
--- a/src/main/java/fordridge/model/SchedulerSettings.java
+++ b/src/main/java/fordridge/model/SchedulerSettings.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Everything that a deployment tells the scheduler, typed and complete.
+ * All settings of the scheduler, typed and with defaults filled in.
  *
- * @param schedulerCount schedulers that share the cluster, this one among them
+ * @param schedulerCount number of schedulers that share the cluster, including this one
  * @param position this scheduler's number among them, from 0
  * @param zone the zone that this scheduler is in
  * @param machineKinds the kinds of machine with their sizes
  * @param priorityClasses at least one
  * @param tenants names of the tenants; one empty name where there are none
- * @param detectionTimeout after this long a fault, or a change at a machine, counts as known
+ * @param detectionTimeout time after which a fault or a change at a machine is assumed to be known
  */
 public record SchedulerSettings(
     double schedulerCount,
@@ -39,7 +39,7 @@
     return MachineKind.UNKNOWN;
   }
 
-  /** Whether some priority class cannot do without that kind of machine. */
+  /** Whether some priority class requires that kind of machine. */
   public boolean isKindRequired(String kind) {
     for (PriorityClass priorityClass : priorityClasses) {
       if (kind.equals(priorityClass.requiredKind())) {
@@ -58,11 +58,11 @@
     return top;
   }
 
-  /** What an accepted attempt proves. */
+  /** What acceptance by a machine means. */
   public enum AcceptanceMode {
-    /** A machine accepts a VM when it runs. */
+    /** A machine accepts a VM once it runs. */
     RUNNING,
-    /** A machine accepts a VM when it is admitted; that it runs is reported later. */
+    /** A machine accepts a VM once it is admitted and reports later that it runs. */
     ADMITTED
   }
 
@@ -72,18 +72,18 @@
     REQUESTED
   }
 
-  /** How load reports come. */
+  /** How load reports are received. */
   public enum LoadReportMode {
     OFF,
     WITH_RESPONSES,
     WITH_PROBES
   }
 
-  /** How the machine list comes. */
+  /** How the machine list is received. */
   public enum DiscoveryMode {
-    /** It is sent unasked. */
+    /** It is sent without a request. */
     PUSH,
-    /** It must be watched. */
+    /** The scheduler has to watch it. */
     WATCH
   }
 
@@ -91,8 +91,8 @@
    * What machines accept and report.
    *
    * @param acceptedCoresFactor requested cores that a machine accepts, as a multiple of its size
-   * @param acceptedMemoryFactor the same of memory
-   * @param listsFreeCapacity whether the machine list has the free capacity of each machine
+   * @param acceptedMemoryFactor requested memory that a machine accepts, as a multiple of its size
+   * @param listsFreeCapacity whether the machine list contains the free capacity of each machine
    * @param reportBasis what load reports count
    * @param meanVmCores cores that a VM requests on average
    */
@@ -103,19 +103,20 @@
       LoadReportBasis reportBasis,
       double meanVmCores) {
 
-    /** Whether load reports count what is requested, not what is used. */
+    /** Whether load reports count requested instead of used resources. */
     public boolean reportsCountRequests() {
       return reportBasis == LoadReportBasis.REQUESTED;
     }
   }
 
   /**
-   * The machine list.
+   * How the machine list is received.
    *
-   * @param pollInterval a list must be fetched within this span to count as current
+   * @param pollInterval time within which a list has to be received to count as current; after a
+   *     failed watch, four times as long
    */
   public record Discovery(DiscoveryMode mode, Duration pollInterval) {
-    /** Whether the list must be watched. */
+    /** Whether the list has to be watched. */
     public boolean isWatched() {
       return mode == DiscoveryMode.WATCH;
     }
@@ -124,23 +125,23 @@
   /**
    * Attempts and final responses.
    *
-   * @param maxAttempts attempts that a VM may get
-   * @param sendsRetryAfter whether a rejection may say when to request again
+   * @param maxAttempts highest number of attempts sent for a VM
+   * @param sendsRetryAfter whether a rejection may contain a retry-after
    */
   public record Attempts(int maxAttempts, boolean sendsRetryAfter, AcceptanceMode acceptance) {
-    /** Whether a VM runs when its machine accepts it. */
+    /** Whether an accepted VM already runs. */
     public boolean acceptedIsRunning() {
       return acceptance == AcceptanceMode.RUNNING;
     }
   }
 
   /**
-   * Slow start of machines that came up recently.
+   * Slow start of recently started machines.
    *
    * @param warmUpTime how long a machine warms up
-   * @param overloadSpan the span over which attempts are counted
-   * @param initialShare the share of {@code attemptsPerSpan} that it bears at first
-   * @param attemptsPerSpan attempts of all schedulers that a warm machine bears in a span
+   * @param overloadSpan span over which attempts are counted
+   * @param initialShare share of {@code attemptsPerSpan} allowed at first
+   * @param attemptsPerSpan attempts of all schedulers that a machine withstands per span
    */
   public record SlowStart(
       Duration warmUpTime, Duration overloadSpan, double initialShare, double attemptsPerSpan) {}
@@ -148,14 +149,14 @@
   /** Load reports, probes, and gossip between schedulers. */
   public record Monitoring(
       LoadReportMode loadReports, boolean probesAllowed, boolean gossipAllowed) {
-    /** Whether a probe may be sent and brings a load report. */
+    /** Whether probes may be sent and return load reports. */
     public boolean probesReportLoad() {
       return probesAllowed && loadReports != LoadReportMode.OFF;
     }
   }
 
   /**
-   * Prices of what a placement causes; 0 where it costs nothing.
+   * Prices of the resources that a placement uses; 0 if it costs nothing.
    *
    * @param machineInUse a machine in use
    * @param otherZone a placement in another zone
--- a/src/main/java/fordridge/model/SchedulerState.java
+++ b/src/main/java/fordridge/model/SchedulerState.java
@@ -15,13 +15,13 @@
 import java.util.function.Predicate;
 
 /**
- * What one scheduler instance knows for as long as it runs. It keeps books and decides nothing.
+ * The state of one scheduler instance. It does the bookkeeping and makes no decisions.
  *
- * <p>Belongs to the thread that calls the scheduler. Times are spans since that thread's clock
- * began; null means never, unless said otherwise.
+ * <p>Confined to the thread that calls the scheduler. Times are durations since the start of that
+ * thread's clock; null means never unless stated otherwise.
  */
 public final class SchedulerState {
-  /** The time of the input that is being handled. */
+  /** Time of the input that is being handled. */
   public Duration now = Duration.ZERO;
 
   /** When this instance started. */
@@ -29,20 +29,20 @@
 
   public SeededRandom random = new SeededRandom(0);
 
-  /** The settings of now, null before the start. */
+  /** The current settings, null before the start. */
   public SchedulerSettings settings;
 
-  /** Schedulers that share the cluster, this one among them. */
+  /** Number of schedulers that share the cluster, including this one. */
   public double schedulerCount = 1;
 
-  /** After the shutdown began nothing more is placed. */
+  /** Whether the shutdown has begun, after which no VM is placed. */
   public boolean isStopping;
 
   // Priority classes.
-  /** By name; a class that the settings no longer name stays. */
+  /** Priority classes by name; a class that the settings no longer contain is kept. */
   public final Map<String, PriorityClassState> priorityClasses = new TreeMap<>();
 
-  /** In the order by which gossip numbers them. */
+  /** Tenant classes in the order of their numbers in gossip. */
   public final List<TenantClass> tenantClasses = new ArrayList<>();
 
   /** When VMs of a tenant class were last rejected without a reason. */
@@ -51,19 +51,22 @@
   public final FleetUsage usage = new FleetUsage();
 
   // Machines.
-  /** In the order in which the list first named them. */
+  /** All machines, in the order in which the list first named them. */
   public final List<Machine> machines = new ArrayList<>();
 
-  /** Machines with attempts in their ledgers. */
+  /** Machines that have reservations. */
   public final Set<Machine> machinesWithReservations = new LinkedHashSet<>();
 
-  /** By short name; null where several machines have one. */
+  /** Machines by their short name in gossip; null where several machines share a name. */
   private final Map<String, Machine> machinesByGossipName = new HashMap<>();
 
-  /** Machines that have not said yet what they run of an earlier incarnation of the scheduler. */
+  /**
+   * Machines that have not yet reported which VMs of an earlier incarnation of the scheduler they
+   * run.
+   */
   private final Set<Machine> inventoryAwaited = new LinkedHashSet<>();
 
-  /** When means over the fleet were last refreshed. */
+  /** When the means over the fleet were last refreshed. */
   public Duration meansRefreshedAt;
 
   private final Map<Long, Set<Machine>> hostsByService = new HashMap<>();
@@ -71,7 +74,7 @@
   private final UnconfirmedEnds unconfirmedEnds = new UnconfirmedEnds(this::releaseService);
 
   // The machine list.
-  /** Whether the list that is coming is complete: what it does not name is gone. */
+  /** Whether the list being received is complete, so that machines not in it are gone. */
   public boolean isListComplete;
 
   public boolean isWatching;
@@ -80,26 +83,26 @@
   /** When the list was last received. */
   public Duration listReceivedAt = Duration.ZERO;
 
-  /** A watch is not requested again before this time. */
+  /** Earliest time to request the watch again. */
   public Duration nextWatchAt = Duration.ZERO;
 
-  // VMs that wait.
-  /** VMs that are neither placed, in flight nor answered. */
+  // Waiting VMs.
+  /** VMs that wait for capacity: not placed, in flight or finished. */
   public final PendingQueue pending = new PendingQueue();
 
-  /** VMs that were not tried since they came or since their last attempt ended. */
+  /** VMs that have not been tried since they arrived or since their last attempt ended. */
   public final Deque<Vm> untried = new ArrayDeque<>();
 
-  /** Those found since any capacity could have grown. */
+  /** VMs found to be unplaceable since capacity last may have grown. */
   public final UnplaceableVms unplaceable = new UnplaceableVms();
 
   /** Whether capacity may have grown since the pending VMs were last tried. */
-  public boolean mayHaveGrown;
+  public boolean capacityMayHaveGrown;
 
-  /** The pending VM after which they go on being tried, null: from the first. */
-  public Vm lastPendingTried;
+  /** The pending VM after which trying continues, null to start from the first. */
+  public Vm lastTriedPending;
 
-  /** When pending VMs were last tried. */
+  /** When the pending VMs were last tried. */
   public Duration pendingTriedAt;
 
   /** When the timer fires, null if none is set. */
@@ -109,13 +112,13 @@
   public long requestCount;
   public long probeCount;
 
-  /** No stale machine is looked for before this time. */
+  /** Earliest time of the next search for a machine with a stale report. */
   public Duration nextProbeAt = Duration.ZERO;
 
-  /** How old the last report gossiped of a machine must be for the next; null: none is. */
+  /** Least time between two gossiped reports of a machine, null if no reports are gossiped. */
   public Duration gossipInterval;
 
-  /** The time of the next input. */
+  /** Sets the time of the next input. */
   public void advanceTo(Duration time) {
     if (!time.equals(now)) {
       unplaceable.clear();
@@ -124,29 +127,29 @@
     now = time;
   }
 
-  /** Capacity may have grown: what found none is worth another look. */
+  /** Capacity may have grown: pending and unplaceable VMs are to be tried again. */
   public void capacityMayHaveGrown() {
-    mayHaveGrown = true;
+    capacityMayHaveGrown = true;
     unplaceable.clear();
   }
 
-  /** Pending VMs are tried now. */
+  /** Records that the pending VMs are tried now. */
   public void pendingTried() {
-    mayHaveGrown = false;
+    capacityMayHaveGrown = false;
     pendingTriedAt = now;
   }
 
-  /** Whether that time has come. */
+  /** Whether the time has been reached. */
   public boolean isPast(Duration time) {
     return now.compareTo(time) >= 0;
   }
 
-  /** The time since then; null counts as since the clock began. */
+  /** The time since then; null counts as the start of the clock. */
   public Duration since(Duration then) {
     return then == null ? now : now.minus(then);
   }
 
-  /** Whether it is less than that span since then; null counts as since the clock began. */
+  /** Whether less than the span has passed since then; null counts as the start of the clock. */
   public boolean isWithin(Duration span, Duration then) {
     return since(then).compareTo(span) < 0;
   }
@@ -156,28 +159,28 @@
     return Durations.toSeconds(now.minus(then));
   }
 
-  /** Whether the machine list must be watched. */
+  /** Whether the machine list has to be watched. */
   public boolean isListWatched() {
     return settings.discovery().isWatched();
   }
 
-  /** Machines that are live and whose size is known, or all where none is. */
+  /** Live machines of known size, or all machines if there are none. */
   public List<Machine> usableMachines() {
     return MachineLists.prefer(machines, Machine::isUsable);
   }
 
   /** The detection timeout in seconds. */
-  public double timeoutSeconds() {
+  public double detectionTimeoutSeconds() {
     return Durations.toSeconds(settings.detectionTimeout());
   }
 
-  /** So many detection timeouts. */
+  /** The given number of detection timeouts. */
   public Duration detectionTimeouts(double count) {
     return Durations.scale(settings.detectionTimeout(), count);
   }
 
-  /** The time in so many detection timeouts. */
-  public Duration inTimeouts(double count) {
+  /** The time after the given number of detection timeouts from now. */
+  public Duration inDetectionTimeouts(double count) {
     return now.plus(detectionTimeouts(count));
   }
 
@@ -192,14 +195,15 @@
   }
 
   /**
-   * Takes over settings. Priority classes stay and keep what was learned; {@code unlearned} makes
-   * the state of a new one. Tenant classes are numbered anew, by tenant and name of the class.
+   * Applies settings. Known priority classes keep their learned values; {@code initialState}
+   * creates the state of a new one. Tenant classes are renumbered, by tenant and name of the class.
    */
   public void apply(
-      SchedulerSettings newSettings, Function<PriorityClass, PriorityClassState> unlearned) {
+      SchedulerSettings newSettings, Function<PriorityClass, PriorityClassState> initialState) {
     settings = newSettings;
     for (PriorityClass each : settings.priorityClasses()) {
-      priorityClasses.computeIfAbsent(each.name(), name -> unlearned.apply(each)).settings = each;
+      priorityClasses.computeIfAbsent(each.name(), name -> initialState.apply(each)).settings =
+          each;
     }
     tenantClasses.clear();
     for (String tenant : settings.tenants()) {
@@ -210,14 +214,15 @@
   }
 
   /**
-   * The machine with the oldest report of those that match and whose report is older than that; the
-   * first of equals, from an index of the list on. Null if there is none.
+   * Finds the machine with the oldest load report among those that match the condition and whose
+   * report is older than {@code minAge}; null if there is none. Of equals, the first from {@code
+   * startIndex} on is returned.
    */
-  public Machine findOldestReport(int from, Duration age, Predicate<Machine> condition) {
+  public Machine findOldestReport(int startIndex, Duration minAge, Predicate<Machine> condition) {
     Machine oldest = null;
-    Duration oldestAge = age;
+    Duration oldestAge = minAge;
     for (int i = 0; i < machines.size(); i++) {
-      Machine machine = machines.get((from + i) % machines.size());
+      Machine machine = machines.get((startIndex + i) % machines.size());
       if (condition.test(machine) && since(machine.reportedAt).compareTo(oldestAge) > 0) {
         oldest = machine;
         oldestAge = since(machine.reportedAt);
@@ -226,22 +231,27 @@
     return oldest;
   }
 
-  /** Whether the machine list must be requested now. */
+  /** Whether the watch of the machine list has to be requested now. */
   public boolean needsMachineList() {
     return isListWatched() && !isWatching && !isWatchRequested && isPast(nextWatchAt);
   }
 
-  /** Whether pending VMs wait that no one will place any more. */
+  /** Whether VMs are still pending although the shutdown has begun. */
   public boolean mustDropPending() {
     return isStopping && !pending.isEmpty();
   }
 
-  /** Whether VMs are pending for which capacity may have grown, and were not tried now. */
+  /**
+   * Whether VMs are pending, capacity may have grown since they were tried, and they were not tried
+   * at this instant.
+   */
   public boolean mayPlacePending() {
-    return mayHaveGrown && !pending.isEmpty() && !now.equals(pendingTriedAt);
+    return capacityMayHaveGrown && !pending.isEmpty() && !now.equals(pendingTriedAt);
   }
 
-  /** Whether something waits for time to pass and no timer is set. */
+  /**
+   * Whether a timer is needed, for pending VMs or the next request of the watch, and none is set.
+   */
   public boolean needsTimer() {
     return timerAt == null && (!pending.isEmpty() || (isListWatched() && !isWatching));
   }
@@ -255,7 +265,7 @@
     return priorityClasses.isEmpty() ? 1 : shortest;
   }
 
-  /** A machine list begins. */
+  /** Starts a machine list. */
   public void listStarted(boolean isComplete, boolean mayBeStale) {
     isListComplete = isComplete;
     listReceivedAt = now;
@@ -268,7 +278,7 @@
     }
   }
 
-  /** The machine list names a machine. */
+  /** Enters a machine of the list. */
   public void listed(Machine machine, Machine.Lifecycle lifecycle, Duration startedAt) {
     register(machine);
     machine.resize(settings.kindOf(machine));
@@ -291,7 +301,7 @@
     }
   }
 
-  /** A machine list ends: what a complete one did not name is gone. */
+  /** Ends a machine list: machines that a complete list did not name are gone. */
   public void listCompleted() {
     if (!isListComplete) {
       return;
@@ -304,8 +314,10 @@
     }
   }
 
-  /** A gossip message on a machine and tenant class that are known, else null. */
-  public GossipMessage usableGossip(String text) {
+  /**
+   * Decodes a gossip message; null if it is malformed or its machine or tenant class is unknown.
+   */
+  public GossipMessage decodeGossip(String text) {
     GossipMessage message = GossipCodec.decode(text);
     boolean isUnusable =
         machineOf(message) == null
@@ -319,13 +331,15 @@
     return message == null ? null : machinesByGossipName.get(message.machineName());
   }
 
-  /** Whether the machine hosts a service, or did within that span. */
+  /** Whether the machine hosts a service or did so within the span. */
   public boolean isHostedWithin(Duration span, Machine machine, long service) {
     HostedService hosted = machine.hostedServices.get(service);
     return hosted != null && (hosted.count > 0 || isWithin(span, hosted.lastHostedAt));
   }
 
-  /** An attempt is sent: it is reserved until lists and reports can include it. */
+  /**
+   * Records an attempt as sent and reserves its resources until lists and reports can include it.
+   */
   public void attemptSent(PlacementAttempt attempt) {
     Machine machine = attempt.machine;
     attempt.vm.attempts.add(attempt);
@@ -337,7 +351,7 @@
     addHosted(attempt);
   }
 
-  /** A machine accepted an attempt. */
+  /** Records that a machine accepted an attempt. */
   public void attemptAccepted(PlacementAttempt attempt) {
     attempt.machine.unansweredAttempts.remove(attempt);
     attempt.acceptedAt = now;
@@ -345,29 +359,29 @@
   }
 
   /**
-   * An attempt ended.
+   * Records that an attempt ended.
    *
-   * @param countsUntil how long its VM counts at the machine if it may run there all the same
+   * @param countsUntil until when its VM counts at the machine if it may still run there
    */
   public void attemptEnded(
       PlacementAttempt attempt, PlacementAttempt.Outcome outcome, Duration countsUntil) {
     attempt.outcome = outcome;
     attempt.machine.unansweredAttempts.remove(attempt);
     attempt.machine.hostedAttempts.remove(attempt);
-    if (attempt.mayStillRun && !isCleared(attempt)) {
+    if (attempt.mayStillRun && !isMachineCleared(attempt)) {
       unconfirmedEnds.add(attempt, countsUntil);
     } else {
       releaseService(attempt);
     }
   }
 
-  /** A VM needs no response any more. */
+  /** Marks a VM that needs no further response as finished. */
   public void finish(Vm vm) {
     vm.isFinished = true;
     pending.remove(vm);
   }
 
-  /** Counts an attempt at its machine from now on. */
+  /** Counts an attempt among those at its machine. */
   public void addHosted(PlacementAttempt attempt) {
     Machine machine = attempt.machine;
     machine.hostedAttempts.add(attempt);
@@ -378,25 +392,34 @@
     hostsByService.computeIfAbsent(attempt.vm.service, key -> new HashSet<>()).add(machine);
   }
 
-  /** Whether the machine list says that the machine runs nothing any more that was sent before. */
-  private static boolean isCleared(PlacementAttempt attempt) {
+  /**
+   * Whether the machine is gone or has restarted since the attempt was sent, so that its VM cannot
+   * run there.
+   */
+  private static boolean isMachineCleared(PlacementAttempt attempt) {
     Machine machine = attempt.machine;
     boolean isRestarted =
         machine.startedAt != null && attempt.sentAt.compareTo(machine.startedAt) < 0;
     return machine.lifecycle == Machine.Lifecycle.GONE || isRestarted;
   }
 
-  /** The machine has said that a VM runs no longer which had ended without its word. */
+  /**
+   * Records that the machine confirmed the end of a VM whose attempt had ended without its
+   * confirmation.
+   */
   public void endConfirmed(String vmId, Machine machine) {
     unconfirmedEnds.confirmed(vmId, machine);
   }
 
-  /** Counts of VMs whose attempts ended without their machine's word, for the log. */
+  /**
+   * Describes, for the log, the numbers of attempts that ended without their machine's
+   * confirmation.
+   */
   public String describeUnconfirmedEnds() {
     return unconfirmedEnds.describe();
   }
 
-  /** Counts an attempt among the VMs of its service no longer. */
+  /** Stops counting an attempt among the VMs of its service. */
   private void releaseService(PlacementAttempt attempt) {
     Machine machine = attempt.machine;
     HostedService service = machine.hostedServices.get(attempt.vm.service);
@@ -404,21 +427,28 @@
     service.lastHostedAt = now;
     if (service.count == 0) {
       hostsByService.computeIfPresent(
-          attempt.vm.service, (key, on) -> on.remove(machine) && on.isEmpty() ? null : on);
+          attempt.vm.service,
+          (key, hosts) -> hosts.remove(machine) && hosts.isEmpty() ? null : hosts);
     }
   }
 
-  /** What the machine runs of an earlier incarnation is not known until its inventory comes. */
+  /**
+   * Marks the machine as possibly running unknown VMs of an earlier incarnation, until its
+   * inventory arrives.
+   */
   public void awaitInventory(Machine machine) {
     inventoryAwaited.add(machine);
   }
 
-  /** The machine has said what it runs, or is gone. */
+  /** Records that the machine sent its inventory or is gone. */
   public void inventoryReceived(Machine machine) {
     inventoryAwaited.remove(machine);
   }
 
-  /** Whether VMs may run in the domain of the machine that are not known yet. */
+  /**
+   * Whether the inventory of any machine in the same domain is awaited, so that unknown VMs may run
+   * there.
+   */
   public boolean isInventoryAwaitedNear(Machine machine, TopologyDomain domain) {
     for (Machine awaited : inventoryAwaited) {
       if (domain.contains(machine, awaited)) {
@@ -428,7 +458,7 @@
     return false;
   }
 
-  /** How many VMs of a service this scheduler has in the same domain as the machine. */
+  /** Number of this scheduler's VMs of a service in the machine's domain. */
   public int countHosted(long service, TopologyDomain domain, Machine machine) {
     int count = 0;
     for (Machine host : hostsByService.getOrDefault(service, Set.of())) {
--- a/src/main/java/fordridge/model/SeededRandom.java
+++ b/src/main/java/fordridge/model/SeededRandom.java
@@ -4,8 +4,8 @@
 import java.util.zip.CRC32;
 
 /**
- * Numbers from 0 to under 1: the CRC-32 of the seed and a counter, so that the same seed gives the
- * same numbers everywhere. Not for secrets.
+ * Pseudorandom numbers from 0 (inclusive) to 1 (exclusive): the CRC-32 of the seed and a counter,
+ * so that the same seed gives the same numbers on every platform. Not cryptographically secure.
  */
 public final class SeededRandom {
   private static final double RANGE = 4294967296.0;
@@ -15,7 +15,7 @@
   private final long seed;
   private long draws;
 
-  /** A sequence of its own for each seed. */
+  /** Creates the sequence of a seed. */
   public SeededRandom(long seed) {
     this.seed = seed;
   }
--- a/src/main/java/fordridge/model/SettingsValues.java
+++ b/src/main/java/fordridge/model/SettingsValues.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 
 /**
- * Settings as they were received: plain values by name, nested names joined by dots.
+ * Settings as received: plain values by name, with nested names joined by dots.
  *
- * <p>Only readers of settings use it; what they read goes on in typed records such as {@link
- * SchedulerSettings}. A value that is absent or of another type reads as the default given.
+ * <p>Only readers of settings use this class; they return typed records such as {@link
+ * SchedulerSettings}. A value that is missing or of another type is read as the default.
  */
 public final class SettingsValues {
   private static final long NANOS_PER_MICROSECOND = 1000;
 
   private final Map<String, Object> values;
 
-  /** Values whose nested names are joined already. */
+  /** Wraps values whose nested names are already joined. */
   public SettingsValues(Map<String, Object> values) {
     this.values = values;
   }
@@ -29,8 +29,8 @@
   }
 
   /**
-   * Adds nested values under names joined by dots; a list of objects becomes its length and
-   * numbered names.
+   * Adds nested values under names joined by dots. A list of objects is added as its length, under
+   * its own name, and its elements, under the name with their index appended.
    */
   public static void flatten(String prefix, Map<String, Object> from, Map<String, Object> into) {
     for (Map.Entry<String, Object> entry : from.entrySet()) {
@@ -38,7 +38,7 @@
     }
   }
 
-  @SuppressWarnings("unchecked") // JSON objects have names of type String
+  @SuppressWarnings("unchecked") // keys of JSON objects are strings
   private static void flatten(String name, Object value, Map<String, Object> into) {
     if (value instanceof Map) {
       flatten(name + ".", (Map<String, Object>) value, into);
@@ -53,37 +53,37 @@
   }
 
   /** A number, whole or not. */
-  public double number(String name, double absent) {
-    return values.get(name) instanceof Number number ? number.doubleValue() : absent;
+  public double number(String name, double defaultValue) {
+    return values.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
   }
 
-  /** True or false. */
-  public boolean flag(String name, boolean absent) {
-    return values.get(name) instanceof Boolean flag ? flag : absent;
+  /** A boolean. */
+  public boolean flag(String name, boolean defaultValue) {
+    return values.get(name) instanceof Boolean flag ? flag : defaultValue;
   }
 
   /** A string. */
-  public String text(String name, String absent) {
-    return values.get(name) instanceof String text ? text : absent;
+  public String text(String name, String defaultValue) {
+    return values.get(name) instanceof String text ? text : defaultValue;
   }
 
-  /** A list, empty if absent. */
+  /** A list, empty if it is missing. */
   public List<?> list(String name) {
     return values.get(name) instanceof List<?> list ? list : List.of();
   }
 
-  /** The number at that index of a list. */
-  public double item(String name, int index, double absent) {
+  /** The number at an index of a list. */
+  public double item(String name, int index, double defaultValue) {
     List<?> list = list(name);
     return index >= 0 && index < list.size() && list.get(index) instanceof Number number
         ? number.doubleValue()
-        : absent;
+        : defaultValue;
   }
 
-  /** A span of time, which is told in microseconds. */
-  public Duration micros(String name, Duration absent) {
+  /** A duration, given in microseconds. */
+  public Duration micros(String name, Duration defaultValue) {
     return values.get(name) instanceof Number number
         ? Duration.ofNanos((long) (number.doubleValue() * NANOS_PER_MICROSECOND))
-        : absent;
+        : defaultValue;
   }
 }
--- a/src/main/java/fordridge/model/SlidingWindow.java
+++ b/src/main/java/fordridge/model/SlidingWindow.java
@@ -4,21 +4,21 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Counts events of the last span. */
+/** Counts the events of the latest span of time. */
 public final class SlidingWindow {
   private final Deque<Duration> times = new ArrayDeque<>();
 
-  /** Adds an event; times must not go back. */
+  /** Adds an event; events have to be added in order of time. */
   public void add(Duration time) {
     times.addLast(time);
   }
 
-  /** Removes one event of that time, if there is one. */
+  /** Removes one event of the given time, if there is one. */
   public void remove(Duration time) {
     times.removeFirstOccurrence(time);
   }
 
-  /** How many events lie less than a span back; older ones are forgotten. */
+  /** The number of events less than a span ago; older ones are removed. */
   public int count(Duration now, Duration span) {
     while (!times.isEmpty() && times.peekFirst().plus(span).compareTo(now) <= 0) {
       times.removeFirst();
--- a/src/main/java/fordridge/model/TenantClass.java
+++ b/src/main/java/fordridge/model/TenantClass.java
@@ -2,9 +2,10 @@
 
 import java.util.Objects;
 
-/** One tenant's VMs of one priority class, for which machines keep a rejection backoff. */
+/** A tenant and a priority class; rejection backoffs apply to the VMs of one tenant class. */
 public record TenantClass(String tenant, String priorityClass) {
-  // Written out, as the generated methods are linked at run time, which delays the first placement.
+  // Written by hand: the generated methods of a record are linked at run time, which delays the
+  // first placement.
   @Override
   public boolean equals(Object other) {
     return other instanceof TenantClass that
--- a/src/main/java/fordridge/model/TopologyDomain.java
+++ b/src/main/java/fordridge/model/TopologyDomain.java
@@ -1,15 +1,15 @@
 package fordridge.model;
 
-/** A part of the cluster within which machines count as together. */
+/** A level of the topology, at which machines belong to the same domain or not. */
 public enum TopologyDomain {
-  /** No machines count as together; as a spread domain: no limit. */
+  /** No two machines are in the same domain; as a spread domain, this means no limit. */
   NONE,
   MACHINE,
   CELL,
   ZONE,
   CLUSTER;
 
-  /** Whether both machines are in one domain of this kind. */
+  /** Whether both machines are in the same domain at this level. */
   public boolean contains(Machine first, Machine second) {
     return switch (this) {
       case NONE -> false;
--- a/src/main/java/fordridge/model/UnconfirmedEnds.java
+++ b/src/main/java/fordridge/model/UnconfirmedEnds.java
@@ -8,14 +8,14 @@
 import java.util.function.Consumer;
 
 /**
- * Attempts that ended without a word of their machine, as when a connection broke under a request:
- * their VMs may run there, and count among the VMs of their service for a while. At most {@value
- * #MAX_KEPT} are kept, the latest.
+ * Attempts that ended without their machine's confirmation, for example because the connection was
+ * lost: their VMs may still run there and count among the VMs of their service for some time. Only
+ * the latest {@value #MAX_KEPT} are kept.
  */
 final class UnconfirmedEnds {
   static final int MAX_KEPT = 1000;
 
-  /** With the time until which each counts, the earliest ended first. */
+  /** The attempts in the order in which they ended, with the time until which each counts. */
   private final Map<PlacementAttempt, Duration> countsUntil = new LinkedHashMap<>();
 
   private final Consumer<PlacementAttempt> onReleased;
@@ -26,12 +26,15 @@
   private long expiredCount;
   private long displacedCount;
 
-  /** The consumer gets each attempt when it counts no longer. */
+  /** Creates an empty set; {@code onReleased} gets each attempt when it no longer counts. */
   UnconfirmedEnds(Consumer<PlacementAttempt> onReleased) {
     this.onReleased = onReleased;
   }
 
-  /** The attempt counts until then, unless its machine says before that it has ended. */
+  /**
+   * Counts the attempt until the given time, unless its machine confirms its end or is cleared
+   * before.
+   */
   void add(PlacementAttempt attempt, Duration until) {
     countsUntil.put(attempt, until);
     addedCount++;
@@ -41,20 +44,20 @@
     }
   }
 
-  /** The VM is known to run on the machine no longer. */
+  /** The machine confirmed that the VM no longer runs. */
   void confirmed(String vmId, Machine machine) {
     confirmedCount +=
         release((attempt, until) -> attempt.machine == machine && attempt.vm.id.equals(vmId));
   }
 
-  /** The machine runs nothing of what was sent to it before that time. */
+  /** The machine runs no VM that was sent to it before the given time. */
   void machineCleared(Machine machine, Duration before) {
     clearedCount +=
         release(
             (attempt, until) -> attempt.machine == machine && attempt.sentAt.compareTo(before) < 0);
   }
 
-  /** Releases those whose time is over. */
+  /** Releases the attempts whose time has passed. */
   void expire(Duration now) {
     expiredCount += release((attempt, until) -> until.compareTo(now) <= 0);
   }
@@ -73,7 +76,10 @@
     return released;
   }
 
-  /** How many there are and were, and why they count no longer. */
+  /**
+   * Describes how many attempts count, how many were added, and how many were released for which
+   * reason.
+   */
   String describe() {
     return countsUntil.size()
         + " of "
--- a/src/main/java/fordridge/model/UnplaceableVms.java
+++ b/src/main/java/fordridge/model/UnplaceableVms.java
@@ -3,21 +3,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** VMs for which no machine has capacity; they stand for all that request no less. */
+/**
+ * VMs for which no machine has capacity; each stands for all VMs of its priority class that request
+ * no less.
+ */
 public final class UnplaceableVms {
   private final List<Vm> vms = new ArrayList<>();
 
-  /** Adds one. */
+  /** Adds a VM for which no machine has capacity. */
   public void add(Vm vm) {
     vms.add(vm);
   }
 
-  /** Forgets all, as capacity may have grown. */
+  /** Removes all VMs, as capacity may have grown. */
   public void clear() {
     vms.clear();
   }
 
-  /** Whether it holds a VM of the same priority class that requests no more. */
+  /** Whether a VM of the same priority class that requests no more is unplaceable. */
   public boolean covers(Vm vm) {
     for (Vm other : vms) {
       if (other.priorityClass.equals(vm.priorityClass)
--- a/src/main/java/fordridge/model/Vm.java
+++ b/src/main/java/fordridge/model/Vm.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * A VM: the request to place it, and the VM itself once it runs.
+ * A VM: the placement request and, once it runs, the VM itself.
  *
- * <p>Belongs to the thread that calls the scheduler. What was requested is set before the scheduler
- * gets it and not changed after.
+ * <p>Confined to the thread that calls the scheduler. The requested values are set before the
+ * scheduler gets the VM and do not change after that.
  */
 public final class Vm {
-  /** Its name at the client; the scheduler only hands it back. */
+  /** The id that the client gave it; the scheduler only passes it back. */
   public final String id;
 
-  // What was requested.
+  // Requested values.
   public String priorityClass;
   public String tenant = "";
   public long service;
   public double cores;
   public double memory;
 
-  /** Whether the client requested it before. */
+  /** Whether the client has requested it before. */
   public boolean isClientRetry;
 
   public Duration arrivedAt;
@@ -29,28 +29,31 @@
   /** When the client gives up. */
   public Duration deadline;
 
-  /** How long it will run, null where that is not known. */
+  /** How long it will run, null if that is not known. */
   public Duration expectedLifetime;
 
-  // What became of it.
-  /** Oldest first; the index of each is its number. */
+  // State of the request and the VM.
+  /** All attempts, oldest first; the index of each is its number. */
   public final List<PlacementAttempt> attempts = new ArrayList<>();
 
-  /** The attempt by which it runs, or null. */
+  /** The accepted attempt, by which the VM runs, or null. */
   public PlacementAttempt acceptedAttempt;
 
-  /** Whether the final response was sent, or its end was reported. */
+  /** Whether the final response was sent or the VM's end was reported. */
   public boolean isFinished;
 
-  /** Whether the scheduler stopped it to migrate it, which is no fault of the machine. */
+  /**
+   * Whether the scheduler stopped it in order to migrate it, so that its end is not a fault of the
+   * machine.
+   */
   public boolean isMigrating;
 
-  /** Its place in the queue that it is in, or was in last; null before. */
+  /** Its current or last position in the pending queue, null if it was never in it. */
   PendingQueue.Entry pendingEntry;
 
   private TenantClass tenantClass;
 
-  /** A VM of which nothing but the name is set. */
+  /** Creates a VM of which only the id is set. */
   public Vm(String id) {
     this.id = id;
   }
@@ -68,7 +71,7 @@
     return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
   }
 
-  /** How many attempts were sent, or may still be. */
+  /** Number of attempts that were sent or may still be sent. */
   public int sentAttempts() {
     int count = 0;
     for (PlacementAttempt attempt : attempts) {
@@ -79,13 +82,13 @@
     return count;
   }
 
-  /** Its first attempt that may have run, or null. */
-  public PlacementAttempt firstThatMayHaveRun() {
-    return firstThatMayHaveRunBefore(attempts.size());
+  /** The first attempt that may have run the VM, or null. */
+  public PlacementAttempt firstAttemptThatMayHaveRun() {
+    return firstAttemptThatMayHaveRunBefore(attempts.size());
   }
 
-  /** Its first attempt with a lower number that may have run, or null. */
-  public PlacementAttempt firstThatMayHaveRunBefore(int number) {
+  /** The first attempt with a lower number that may have run the VM, or null. */
+  public PlacementAttempt firstAttemptThatMayHaveRunBefore(int number) {
     for (PlacementAttempt attempt : attempts) {
       if (attempt.number < number && !attempt.hasNeverRun()) {
         return attempt;
@@ -94,8 +97,8 @@
     return null;
   }
 
-  /** Whether all attempts that may have run were in one domain with the machine. */
-  public boolean mayHaveRunOnlyNear(Machine machine, TopologyDomain domain) {
+  /** Whether all attempts that may have run the VM were in the machine's domain. */
+  public boolean mayHaveRunOnlyInDomainOf(Machine machine, TopologyDomain domain) {
     for (PlacementAttempt attempt : attempts) {
       if (!attempt.hasNeverRun() && !domain.contains(machine, attempt.machine)) {
         return false;
@@ -104,7 +107,7 @@
     return true;
   }
 
-  /** How many attempts have no outcome yet; a running VM's attempt counts. */
+  /** Number of attempts without an outcome, which includes the attempt of a running VM. */
   public int inFlightAttempts() {
     int count = 0;
     for (PlacementAttempt attempt : attempts) {
--- a/src/main/java/fordridge/scheduling/CandidateFilter.java
+++ b/src/main/java/fordridge/scheduling/CandidateFilter.java
@@ -7,7 +7,7 @@
 import fordridge.model.Vm;
 import java.util.Optional;
 
-/** Decides which machines a VM may be offered to at all. */
+/** Decides which machines are eligible for a VM. */
 record CandidateFilter(
     SchedulerState state,
     SchedulerActions actions,
@@ -17,7 +17,7 @@
 
   boolean isEligible(Vm vm, PriorityClass settings, Machine machine) {
     return !outliers.isBackedOff(vm, machine)
-        && isOpen(settings, machine)
+        && isOpenToClass(settings, machine)
         && !actions.isSendQueueFull(machine)
         && retries.allowsMachine(vm, settings, machine)
         && keepsSpread(vm, settings, machine, 0)
@@ -25,15 +25,16 @@
   }
 
   /**
-   * What was learned since an attempt was decided and forbids that it is sent, if anything. Its own
-   * place among the VMs of its service, and in the quota of slow start, is not held against it.
+   * Returns the first reason, if any, why an attempt that was decided earlier must not be sent now.
+   * The attempt is already counted among the VMs of its service and in the slow-start quota; its
+   * own count is left out of these checks.
    */
   Optional<OfferObstacle> findObstacle(PlacementAttempt attempt) {
-    Optional<OfferObstacle> atClient = findObstacleAtClient(attempt);
-    return atClient.isPresent() ? atClient : findObstacleAtMachine(attempt);
+    Optional<OfferObstacle> requestObstacle = findRequestObstacle(attempt);
+    return requestObstacle.isPresent() ? requestObstacle : findMachineObstacle(attempt);
   }
 
-  private Optional<OfferObstacle> findObstacleAtClient(PlacementAttempt attempt) {
+  private Optional<OfferObstacle> findRequestObstacle(PlacementAttempt attempt) {
     if (!attempt.isInFlight()) {
       return Optional.of(OfferObstacle.ATTEMPT_ENDED);
     }
@@ -49,7 +50,7 @@
     return state.isStopping ? Optional.of(OfferObstacle.SHUTDOWN) : Optional.empty();
   }
 
-  private Optional<OfferObstacle> findObstacleAtMachine(PlacementAttempt attempt) {
+  private Optional<OfferObstacle> findMachineObstacle(PlacementAttempt attempt) {
     Machine machine = attempt.machine;
     PriorityClass settings = state.settingsOf(attempt.vm);
     if (machine.lifecycle != Machine.Lifecycle.LIVE) {
@@ -72,8 +73,11 @@
         : Optional.of(OfferObstacle.SLOW_START);
   }
 
-  /** Open to the class, whatever became of a VM's attempts and wherever its service runs. */
-  boolean isOpen(PriorityClass settings, Machine machine) {
+  /**
+   * Whether the machine takes VMs of the class, regardless of a VM's earlier attempts and of where
+   * its service runs.
+   */
+  boolean isOpenToClass(PriorityClass settings, Machine machine) {
     return machine.lifecycle == Machine.Lifecycle.LIVE
         && settings.allowsKind(machine.kind)
         && state.isPast(machine.ejectedUntil)
@@ -82,14 +86,15 @@
   }
 
   /**
-   * This scheduler's VMs of the service in one domain, with this one, stay within the limit; not
-   * known while a machine there has not said what it runs.
+   * Whether this scheduler's VMs of the service in the machine's domain, including this VM, stay
+   * within the spread limit. False while a machine of the domain has not sent its inventory, as the
+   * count is then not known.
    *
-   * @param own how many of those that are counted are attempts of this VM
+   * @param ownCounted number of counted attempts that belong to this VM
    */
-  private boolean keepsSpread(Vm vm, PriorityClass settings, Machine machine, int own) {
+  private boolean keepsSpread(Vm vm, PriorityClass settings, Machine machine, int ownCounted) {
     return settings.isSpreadUnlimited()
-        || (state.countHosted(vm.service, settings.spreadDomain(), machine) - own
+        || (state.countHosted(vm.service, settings.spreadDomain(), machine) - ownCounted
                 < settings.maxPerDomain()
             && !state.isInventoryAwaitedNear(machine, settings.spreadDomain()));
   }
--- a/src/main/java/fordridge/scheduling/CapacityModel.java
+++ b/src/main/java/fordridge/scheduling/CapacityModel.java
@@ -13,42 +13,59 @@
 import fordridge.model.Vm;
 import java.util.List;
 
-/** Estimates regular capacity, which nobody requested, and opportunistic capacity (UBIS). */
+/**
+ * Estimates regular capacity, which no VM has requested, and opportunistic capacity, which VMs have
+ * requested but do not use (UBIS).
+ */
 record CapacityModel(SchedulerState state, FleetUsage usage) {
-  /** Utilization up to which machines are filled. */
+  /** Highest utilization up to which machines are normally filled. */
   static final double UTILIZATION_LIMIT = 0.9;
 
-  /** That of memory for classes below the top rank, whose VMs must find some left. */
+  /**
+   * Memory utilization limit of classes below the top rank; the rest is kept for VMs of the top
+   * rank.
+   */
   private static final double LOW_RANK_MEMORY_LIMIT = 0.75;
 
-  private static final int USAGE_SAMPLES = 64;
+  private static final int USAGE_WINDOW_SAMPLES = 64;
 
-  /** Until use is reported, it is what lets a machine bear all it accepts: more opens too many. */
+  /**
+   * Sets the initial use of requested resources. Until VMs report their use, it is the use at which
+   * a machine that has accepted all it can is exactly full; a higher value would put VMs on more
+   * machines than necessary.
+   */
   void start() {
     SchedulerSettings.Capacity settings = state.settings.capacity();
-    usage.usedCoresRatio = RunningMean.ofGuess(1 / settings.acceptedCoresFactor(), USAGE_SAMPLES);
-    usage.usedMemoryRatio = RunningMean.ofGuess(1 / settings.acceptedMemoryFactor(), USAGE_SAMPLES);
+    usage.usedCoresRatio =
+        RunningMean.withInitialValue(1 / settings.acceptedCoresFactor(), USAGE_WINDOW_SAMPLES);
+    usage.usedMemoryRatio =
+        RunningMean.withInitialValue(1 / settings.acceptedMemoryFactor(), USAGE_WINDOW_SAMPLES);
   }
 
   void refreshMeans(List<Machine> live) {
     usage.refresh(live, filter(live, this::hasFreshReport), this::usedCores, this::usedMemory);
   }
 
-  /** Reservations go once a list or report that can include them came; true if none is left. */
+  /**
+   * Releases reservations that the last machine list or load report can already include; returns
+   * true if none is left.
+   */
   boolean releaseReservations(Machine machine) {
-    var listed = state.listReceivedAt.minus(state.detectionTimeouts(1.0 / 3));
-    machine.reservedSinceList.removeSentBefore(listed);
+    var listedUntil = state.listReceivedAt.minus(state.detectionTimeouts(1.0 / 3));
+    machine.reservedSinceList.removeSentBefore(listedUntil);
     boolean isFresh = hasFreshReport(machine);
     var lag = isFresh ? state.detectionTimeouts(1.0 / 6) : state.settings.detectionTimeout();
-    var reported = (isFresh ? machine.reportedAt : state.now).minus(lag);
-    machine.reservedSinceReport.removeIf(a -> a.outcome != null || a.ranBefore(reported));
+    var reportedUntil = (isFresh ? machine.reportedAt : state.now).minus(lag);
+    machine.reservedSinceReport.removeIf(
+        attempt -> attempt.outcome != null || attempt.ranBefore(reportedUntil));
     return machine.reservedSinceList.isEmpty() && machine.reservedSinceReport.isEmpty();
   }
 
   /**
-   * What the list says is free does not include an attempt that is still reserved, or includes it
-   * though it is over: either way its reservation is not needed any more. The list may have no news
-   * for long while VMs come and go.
+   * Releases the reservations of an attempt that has ended, unless its VM may still run. The list's
+   * free capacity either does not count the attempt yet or still counts it; in both cases the
+   * reservation is no longer needed. It is not left to the next list to release it, as the list may
+   * stay unchanged for long while VMs start and end.
    */
   void attemptEnded(PlacementAttempt attempt) {
     if (attempt.mayStillRun) {
@@ -60,12 +77,13 @@
     }
   }
 
+  /** Machines with regular capacity for the VM; none if the list does not give free capacity. */
   List<Machine> withRegularCapacity(Vm vm, List<Machine> machines) {
     boolean isListed = state.settings.capacity().listsFreeCapacity();
     return isListed ? withHeadroom(machines, m -> acceptedShare(vm, m, 1, 1)) : List.of();
   }
 
-  /** All priority classes are opted in to opportunistic capacity. */
+  /** Machines with opportunistic capacity for the VM; VMs of all priority classes may use it. */
   List<Machine> withOpportunisticCapacity(Vm vm, List<Machine> machines) {
     double cores = state.settings.capacity().acceptedCoresFactor();
     double memory = state.settings.capacity().acceptedMemoryFactor();
@@ -97,22 +115,30 @@
     return freeShare(vm, machine, cores, memory);
   }
 
-  /** Free capacity as a share of the size, by the scarcer resource; 0 if the VM does not fit. */
+  /** Free share of the machine's scarcer resource; 0 if the VM does not fit. */
   private static double freeShare(Vm vm, Machine machine, double cores, double memory) {
     boolean fits = vm.cores <= cores && vm.memory <= memory;
     return fits ? Math.min(cores / machine.cores, memory / machine.memory) : 0;
   }
 
-  /** The more of what comes is of a lower class, the more it must be kept from filling all. */
+  /**
+   * The memory utilization limit for the VM. Below the top rank it falls with the class's share of
+   * all requests, since the more such VMs arrive, the more memory they would take from VMs of the
+   * top rank.
+   */
   private double memoryLimit(Vm vm) {
     var priorityClass = state.classOf(vm);
     boolean isLowRank = priorityClass.settings.rank() < state.settings.topRank();
-    double requestShare = priorityClass.requests / Math.max(1, state.requestCount);
-    double part = isLowRank ? Math.min(1, 2 * requestShare) : 0;
-    return UTILIZATION_LIMIT - (UTILIZATION_LIMIT - LOW_RANK_MEMORY_LIMIT) * part;
+    double requestShare = priorityClass.requestCount / Math.max(1, state.requestCount);
+    double reductionShare = isLowRank ? Math.min(1, 2 * requestShare) : 0;
+    return UTILIZATION_LIMIT - (UTILIZATION_LIMIT - LOW_RANK_MEMORY_LIMIT) * reductionShare;
   }
 
-  /** For a VM that waited, up to where one more start is worth what it takes from other VMs. */
+  /**
+   * The core utilization limit for the VM. Once the VM has waited for an eighth of its start
+   * objective, the limit rises to the utilization at which the value of one more start equals the
+   * speed that it takes from the VMs that already run.
+   */
   private double coresLimit(Vm vm) {
     var settings = state.settingsOf(vm);
     if (state.isWithin(scale(settings.startObjective(), 1.0 / 8), vm.arrivedAt)) {
@@ -120,21 +146,23 @@
     }
     double fullSpeed = settings.fullSpeedUtilization();
     double span = settings.degradationSpan();
-    double gain = settings.startValueSeconds() / state.classOf(vm).lifetimeSeconds.value();
-    double level = (fullSpeed + span * (1 + gain)) / 2;
-    return Math.max(UTILIZATION_LIMIT, Math.min(level, fullSpeed + span));
+    double relativeStartValue =
+        settings.startValueSeconds() / state.classOf(vm).lifetimeSeconds.value();
+    double breakEven = (fullSpeed + span * (1 + relativeStartValue)) / 2;
+    return Math.max(UTILIZATION_LIMIT, Math.min(breakEven, fullSpeed + span));
   }
 
   /**
-   * The share of the machine in use, with reservations at learned use; or, if that is more, the
-   * requested share of what it accepts: near the top of it, others come first.
+   * The larger of two shares: the share of the machine in use, where reservations count at their
+   * learned use, and the share already requested of what the machine accepts. Because of the
+   * latter, machines that have almost reached what they accept are chosen last.
    */
   double utilization(Machine machine) {
-    double mostCores = state.settings.capacity().acceptedCoresFactor() * machine.cores;
-    double mostMemory = state.settings.capacity().acceptedMemoryFactor() * machine.memory;
+    double acceptedCores = state.settings.capacity().acceptedCoresFactor() * machine.cores;
+    double acceptedMemory = state.settings.capacity().acceptedMemoryFactor() * machine.memory;
     double requestedCores = machine.requestedCores() + machine.reservedSinceList.cores();
     double requestedMemory = machine.requestedMemory() + machine.reservedSinceList.memory();
-    double requested = Math.max(requestedCores / mostCores, requestedMemory / mostMemory);
+    double requested = Math.max(requestedCores / acceptedCores, requestedMemory / acceptedMemory);
     double cores =
         usedCores(machine) + machine.reservedSinceReport.cores() * usage.usedCoresRatio.value();
     double memory =
@@ -153,7 +181,7 @@
       double requested = machine.requestedCores();
       return estimate(usage.meanUsedCores, machine.cores, requested, usage.usedPerRequestedCore);
     }
-    double used = (machine.cores - machine.spareCores) * reportedRatio(usage.usedCoresRatio);
+    double used = (machine.cores - machine.spareCores) * usedPerReported(usage.usedCoresRatio);
     return Double.isNaN(machine.utilization)
         ? used
         : Math.max(used, machine.utilization * machine.cores);
@@ -162,17 +190,22 @@
   private double usedMemory(Machine machine) {
     double requested = machine.requestedMemory();
     return hasFreshReport(machine)
-        ? (machine.memory - machine.spareMemory) * reportedRatio(usage.usedMemoryRatio)
+        ? (machine.memory - machine.spareMemory) * usedPerReported(usage.usedMemoryRatio)
         : estimate(usage.meanUsedMemory, machine.memory, requested, usage.usedPerRequestedMemory);
   }
 
-  private double reportedRatio(RunningMean ratio) {
+  /** Factor from reported to used resources; it differs from 1 where reports count requests. */
+  private double usedPerReported(RunningMean ratio) {
     return state.settings.capacity().reportsCountRequests() ? ratio.value() : 1;
   }
 
-  /** Use without a report: by the fleet's mean as far as it reports, else by what is requested. */
+  /**
+   * Estimated use of a machine without a fresh report: the mean use of the reporting machines, and
+   * the machine's requests at the mean use of a request, weighted by the share of machines that
+   * report.
+   */
   private double estimate(double meanUsed, double size, double requested, double usedPerRequested) {
-    double reporting = usage.reportingShare;
-    return reporting * meanUsed * size + (1 - reporting) * requested * usedPerRequested;
+    double reportingShare = usage.reportingShare;
+    return reportingShare * meanUsed * size + (1 - reportingShare) * requested * usedPerRequested;
   }
 }
--- a/src/main/java/fordridge/scheduling/MachineSelector.java
+++ b/src/main/java/fordridge/scheduling/MachineSelector.java
@@ -15,14 +15,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Chooses the machine for a VM among those that it may be offered to. */
+/** Chooses the machine for a VM among the eligible ones. */
 record MachineSelector(
     SchedulerState state,
     SchedulerActions actions,
     CapacityModel capacity,
     CandidateFilter candidates,
     OutlierDetector outliers) {
-  /** Machines that are compared in the end, and preferred machines of a service. */
+  /**
+   * Number of machines in the final sample, and of machines preferred for a service by its hash.
+   */
   private static final int SAMPLE_SIZE = 3;
 
   /** The machine to offer the VM to, or null if none has capacity. */
@@ -31,9 +33,10 @@
     List<Machine> eligible = new ArrayList<>(state.machines);
     eligible.removeIf(m -> !candidates.isEligible(vm, settings, m));
     List<Machine> machines = findCapacity(vm, eligible);
-    // Tenants' preferences come first; without constraints all machines are alike.
-    double least = min(machines, m -> actions.constraintPenalty(vm, m));
-    machines = prefer(machines, m -> actions.constraintPenalty(vm, m) <= least);
+    // Soft constraints of tenants come before all other preferences; without constraints every
+    // penalty is 0.
+    double lowestPenalty = min(machines, m -> actions.constraintPenalty(vm, m));
+    machines = prefer(machines, m -> actions.constraintPenalty(vm, m) <= lowestPenalty);
     machines = shareOut(vm, prefer(machines, this::isWithinLimit), machines);
     if (settings.requiredKind() == null) {
       machines = spareRequiredKinds(machines);
@@ -42,66 +45,85 @@
     if (state.settings.prices().otherZone() > 0) {
       machines = prefer(machines, m -> m.zone.equals(state.settings.zone()));
     }
-    return machines.isEmpty() ? null : leastPressed(vm, machines);
+    return machines.isEmpty() ? null : selectByPressure(vm, machines);
   }
 
-  /** Whether no machine that is open to its class has capacity for so large a VM. */
+  /** Whether no machine that takes VMs of its class has capacity for a VM of this size. */
   boolean isTooLargeForAll(Vm vm) {
     var settings = state.settingsOf(vm);
-    return withCapacity(vm, filter(state.machines, m -> candidates.isOpen(settings, m))).isEmpty();
+    return withCapacity(vm, filter(state.machines, m -> candidates.isOpenToClass(settings, m)))
+        .isEmpty();
   }
 
-  /** Whether the machine hosts the service or did lately: a start there is a warm start. */
+  /**
+   * Whether the machine hosts the service or did so within the detection timeout, so that a start
+   * there is warm.
+   */
   boolean hasProgram(Machine machine, long service) {
     return state.isHostedWithin(state.settings.detectionTimeout(), machine, service);
   }
 
-  /** Those with capacity, in the first of the preferred groups where any has. */
+  /** The machines with capacity in the first preferred group that has any. */
   private List<Machine> findCapacity(Vm vm, List<Machine> eligible) {
-    List<Machine> found = withCapacityAmongProven(vm, eligible);
-    // Where machines in use have a price, an empty one is opened only when none in use will do.
+    List<Machine> found = withCapacityAmongAccepting(vm, eligible);
+    // If machines in use are priced, an empty machine is used only if none in use has capacity.
     boolean isPriced = state.settings.prices().machineInUse() > 0;
     List<Machine> used = isPriced ? prefer(eligible, this::isInUse) : eligible;
-    found = found.isEmpty() ? withCapacity(vm, homes(vm.service, used)) : found;
+    found = found.isEmpty() ? withCapacity(vm, preferredForService(vm.service, used)) : found;
     found = found.isEmpty() && isPriced ? withCapacity(vm, used) : found;
     return found.isEmpty() ? withCapacity(vm, eligible) : found;
   }
 
-  /** While such VMs are rejected: those that reject stay empty, and would draw every attempt. */
-  private List<Machine> withCapacityAmongProven(Vm vm, List<Machine> eligible) {
+  /**
+   * Machines with capacity that recently accepted a VM of this tenant class; empty unless VMs of
+   * the class are being rejected without a reason. The machines that reject them stay empty, so by
+   * capacity alone they would get every attempt.
+   */
+  private List<Machine> withCapacityAmongAccepting(Vm vm, List<Machine> eligible) {
     if (!outliers.isBeingRejected(vm)) {
       return List.of();
     }
-    List<Machine> proven = filter(eligible, m -> outliers.acceptedLately(vm, m));
-    return proven.isEmpty() ? proven : withCapacity(vm, proven);
+    List<Machine> accepting = filter(eligible, m -> outliers.acceptedRecently(vm, m));
+    return accepting.isEmpty() ? accepting : withCapacity(vm, accepting);
   }
 
-  /** Machines where the service runs or, by a hash that all schedulers share, should run. */
-  private List<Machine> homes(long service, List<Machine> machines) {
-    List<Machine> first = RendezvousHashing.first(service, machines, SAMPLE_SIZE);
-    return prefer(machines, m -> hasProgram(m, service) || first.contains(m));
+  /**
+   * Machines that run or recently ran the service, and those that rank first for it by a hash that
+   * all schedulers share; all machines if there are none.
+   */
+  private List<Machine> preferredForService(long service, List<Machine> machines) {
+    List<Machine> highestRanked = RendezvousHashing.highestRanked(service, machines, SAMPLE_SIZE);
+    return prefer(machines, m -> hasProgram(m, service) || highestRanked.contains(m));
   }
 
   private boolean isInUse(Machine machine) {
     return !machine.hostedAttempts.isEmpty() || machine.freeCores < machine.cores * 0.999;
   }
 
-  /** Regular capacity first, opportunistic capacity where no machine has any. */
+  /**
+   * Machines with regular capacity for the VM or, if there are none to use, with opportunistic
+   * capacity.
+   */
   private List<Machine> withCapacity(Vm vm, List<Machine> machines) {
     List<Machine> regular = shareOut(vm, capacity.withRegularCapacity(vm, machines), List.of());
     return regular.isEmpty() ? capacity.withOpportunisticCapacity(vm, machines) : regular;
   }
 
   /**
-   * All schedulers prefer the same by one outdated list: where they place more than the preferred
-   * machines have free, only that part of the VMs goes there, by chance.
+   * Returns the preferred machines or, by chance, the alternative. All schedulers prefer the same
+   * machines by the same outdated list. If the others are likely to have placed more than the
+   * preferred machines have free, the probability of using them falls, so that all schedulers
+   * together do not overfill them.
    */
-  private List<Machine> shareOut(Vm vm, List<Machine> preferred, List<Machine> otherwise) {
+  private List<Machine> shareOut(Vm vm, List<Machine> preferred, List<Machine> alternative) {
     double headroom = totalHeadroom(preferred);
-    return state.random.next() * coresPlacedUnseen(vm) < headroom ? preferred : otherwise;
+    return state.random.next() * coresPlacedUnseen(vm) < headroom ? preferred : alternative;
   }
 
-  /** Cores that others placed since what the list shows, if all is renewed once in a lifetime. */
+  /**
+   * Estimated cores that other schedulers placed since the state that the list shows, if each VM is
+   * replaced once in a mean lifetime.
+   */
   private double coresPlacedUnseen(Vm vm) {
     double schedulers = state.schedulerCount;
     var listAge = state.since(state.listReceivedAt).plus(state.detectionTimeouts(1.0 / 3));
@@ -113,7 +135,10 @@
     return capacity.utilization(machine) <= CapacityModel.UTILIZATION_LIMIT;
   }
 
-  /** Spares kinds that some class cannot do without, but not until the others are fuller. */
+  /**
+   * Leaves out machines of kinds that some class requires, unless the other machines are fuller on
+   * average.
+   */
   private List<Machine> spareRequiredKinds(List<Machine> machines) {
     List<Machine> others = prefer(machines, m -> !state.settings.isKindRequired(m.kind));
     double utilization = mean(machines, capacity::utilization);
@@ -121,12 +146,16 @@
   }
 
   /**
-   * The least pressed of a sample: those that rank first for the service where no machine has its
-   * program, so that schedulers meet there; else drawn by headroom, as evenly all fill the same.
+   * The machine with the lowest pressure in a sample. Where no machine is warm for the service, the
+   * sample is the machines that rank first for it, so that all schedulers start the service on the
+   * same machines. Otherwise it is drawn with probability in proportion to headroom: many
+   * schedulers read the same list, and with even draws they would fill machines with little
+   * headroom as fast as those with much.
    */
-  private Machine leastPressed(Vm vm, List<Machine> machines) {
+  private Machine selectByPressure(Vm vm, List<Machine> machines) {
     boolean isDrawn = hasProgram(machines.get(0), vm.service);
-    var sample = isDrawn ? machines : RendezvousHashing.first(vm.service, machines, SAMPLE_SIZE);
+    var sample =
+        isDrawn ? machines : RendezvousHashing.highestRanked(vm.service, machines, SAMPLE_SIZE);
     Machine best = null;
     for (int i = 0; i < SAMPLE_SIZE && i < machines.size(); i++) {
       Machine machine = isDrawn ? drawByHeadroom(machines, state.random) : sample.get(i);
@@ -135,7 +164,10 @@
     return best;
   }
 
-  /** Utilization past the limit counts like reports of pressure, which are not always sent. */
+  /**
+   * The fault score plus utilization past the limit, which stands in for pressure that machines do
+   * not report.
+   */
   private double pressure(Machine machine) {
     double limit = CapacityModel.UTILIZATION_LIMIT;
     double overload = Math.max(0, capacity.utilization(machine) - limit) / (1 - limit);
--- a/src/main/java/fordridge/scheduling/OfferObstacle.java
+++ b/src/main/java/fordridge/scheduling/OfferObstacle.java
@@ -1,27 +1,27 @@
 package fordridge.scheduling;
 
-/** What was learned since an attempt was decided and forbids that it is sent. */
+/** Why an attempt that was decided earlier must not be sent any more. */
 public enum OfferObstacle {
   /** The attempt has ended. */
   ATTEMPT_ENDED,
-  /** Its client has left, or has its final response. */
+  /** The client has left or already has its final response. */
   CLIENT_LEFT,
-  /** Its client's deadline has passed. */
+  /** The client's deadline has passed. */
   DEADLINE_PASSED,
-  /** The shutdown has begun. */
+  /** The scheduler is shutting down. */
   SHUTDOWN,
-  /** Its machine drains or is gone. */
+  /** The machine is draining or gone. */
   MACHINE_NOT_LIVE,
-  /** Its machine is of a kind that its class does not run on. */
+  /** The priority class requires another kind of machine. */
   KIND_NOT_ALLOWED,
-  /** Its machine was ejected. */
+  /** The machine has been ejected. */
   MACHINE_EJECTED,
-  /** Its machine rejects VMs of its tenant and class. */
+  /** The machine is in backoff for VMs of this tenant and class, as it rejected one. */
   BACKED_OFF,
-  /** The deduplication window of an earlier attempt is over. */
+  /** An earlier attempt may have run, and its deduplication window has passed. */
   WINDOW_CLOSED,
-  /** The limit of its service is reached where the machine is. */
+  /** The service has reached its spread limit in the machine's domain. */
   SPREAD_LIMIT,
-  /** Its machine has come up lately and has had what it gets for now. */
+  /** The machine started recently and its slow-start quota is used up. */
   SLOW_START
 }
--- a/src/main/java/fordridge/scheduling/OutlierDetector.java
+++ b/src/main/java/fordridge/scheduling/OutlierDetector.java
@@ -14,12 +14,18 @@
 import fordridge.model.Vm;
 import java.time.Duration;
 
-/** Scores faults of machines, ejects those that are down, backs off where VMs are rejected. */
+/**
+ * Scores faults of machines, ejects machines that are down and backs off from machines that reject
+ * VMs.
+ */
 record OutlierDetector(SchedulerState state, HealthChecker health) {
-  /** Severity of an outlier, if it is also that many times the fleet's mean. */
+  /**
+   * Fault severity from which a machine is an outlier, if it is also this many times the fleet's
+   * mean.
+   */
   private static final double OUTLIER_SEVERITY = 3;
 
-  /** Faults halve over each detection timeout. */
+  /** Adds to the machine's fault score, which halves over each detection timeout. */
   void recordFault(Machine machine, double score) {
     machine.faultScore.add(score, state.now, state.settings.detectionTimeout());
   }
@@ -28,7 +34,10 @@
     return machine.faultScore.at(state.now, state.settings.detectionTimeout());
   }
 
-  /** An outlier gets one idempotent VM at a time, until its faults fade. */
+  /**
+   * Whether a VM of the class may be offered to the machine. Until its fault score has decayed, an
+   * outlier gets only one idempotent VM at a time.
+   */
   boolean isTrusted(PriorityClass settings, Machine machine) {
     double severity = severity(machine);
     return severity < OUTLIER_SEVERITY
@@ -39,21 +48,23 @@
   }
 
   double severity(Machine machine) {
-    return faultScore(machine) + (isSilent(machine) ? OUTLIER_SEVERITY : 0);
+    return faultScore(machine) + (isUnresponsive(machine) ? OUTLIER_SEVERITY : 0);
   }
 
-  /** Whether the oldest attempt there waits for a response for longer than starts usually take. */
-  private boolean isSilent(Machine machine) {
+  /**
+   * Whether the machine's oldest unanswered attempt has waited longer than a start usually takes.
+   */
+  private boolean isUnresponsive(Machine machine) {
     if (machine.unansweredAttempts.isEmpty()) {
       return false;
     }
     PlacementAttempt oldest = machine.unansweredAttempts.iterator().next();
     double objective = toSeconds(state.settingsOf(oldest.vm).startObjective());
-    double start = state.classOf(oldest.vm).startSeconds(oldest.isWarmStart).value();
-    return state.secondsSince(oldest.sentAt) / Math.max(objective, 2 * start) > 1;
+    double usualStart = state.classOf(oldest.vm).startSeconds(oldest.isWarmStart).value();
+    return state.secondsSince(oldest.sentAt) / Math.max(objective, 2 * usualStart) > 1;
   }
 
-  /** A late start is a fault, one in time shrinks the score. */
+  /** Adds to the fault score for a late start, reduces it for a start in time. */
   void vmStarted(PlacementAttempt attempt, double seconds) {
     boolean isLate = seconds > toSeconds(state.settingsOf(attempt.vm).startObjective());
     recordFault(attempt.machine, isLate ? 0.3 : -faultScore(attempt.machine) / 5);
@@ -65,7 +76,7 @@
     backoff.acceptedAt = state.now;
   }
 
-  /** Draws what follows for the machine from how an attempt there ended. */
+  /** Updates the machine's fault score, ejection and backoff after an attempt has ended. */
   void attemptEnded(PlacementAttempt attempt, OutcomeReason reason) {
     Outcome outcome = attempt.outcome;
     boolean isExpected =
@@ -75,32 +86,35 @@
     }
     boolean hasReason = reason != OutcomeReason.UNSPECIFIED;
     if (outcome == Outcome.FULL && hasReason) {
-      full(attempt, reason);
+      rejectedWithReason(attempt, reason);
     } else if (outcome == Outcome.FULL || (outcome == Outcome.ERROR && !attempt.wasAccepted())) {
-      rejected(attempt);
+      backOff(attempt);
     } else if (outcome == Outcome.RESET && attempt.wasAccepted() && hasReason) {
       recordFault(attempt.machine, reason == OutcomeReason.EVICTED ? 1 : 0);
     } else {
-      lost(attempt);
+      attemptLost(attempt);
     }
   }
 
-  private void full(PlacementAttempt attempt, OutcomeReason reason) {
+  private void rejectedWithReason(PlacementAttempt attempt, OutcomeReason reason) {
     Duration objective = state.settingsOf(attempt.vm).startObjective();
-    boolean isQueue = reason == OutcomeReason.QUEUE_FULL;
-    Duration span = isQueue ? objective : state.settings.detectionTimeout();
+    boolean isQueueFull = reason == OutcomeReason.QUEUE_FULL;
+    Duration span = isQueueFull ? objective : state.settings.detectionTimeout();
     attempt.machine.ejectedUntil = state.now.plus(scale(span, 0.5));
     recordFault(attempt.machine, 0.5);
   }
 
   /**
-   * A machine that is truly full says of what; one that does not rejects this tenant class whatever
-   * it has free, by a quota or a fault. Where reasons are never given, this may cost capacity.
+   * Backs off from the machine for VMs of this tenant class, after a rejection without a reason or
+   * an error before acceptance. A full machine names the resource that it lacks; a machine that
+   * gives no reason is assumed to reject the tenant class because of a quota or a fault, whatever
+   * capacity it has. Where machines never give reasons, this may leave capacity unused.
    */
-  private void rejected(PlacementAttempt attempt) {
+  private void backOff(PlacementAttempt attempt) {
     var backoff = attempt.machine.rejectionBackoff(attempt.vm.tenantClass());
-    double timeouts = 4 * toSeconds(backoff.span) / state.timeoutSeconds();
-    backoff.span = ofSeconds(Math.max(2, Math.min(timeouts, 8)) * state.timeoutSeconds());
+    double spanInTimeouts = 4 * toSeconds(backoff.span) / state.detectionTimeoutSeconds();
+    backoff.span =
+        ofSeconds(Math.max(2, Math.min(spanInTimeouts, 8)) * state.detectionTimeoutSeconds());
     backoff.until = state.now.plus(backoff.span);
     backoff.acceptedAt = null;
     if (attempt.outcome == Outcome.FULL) {
@@ -114,8 +128,11 @@
     }
   }
 
-  /** A machine that is down is ejected for longer each time: an outage must not use up attempts. */
-  private void lost(PlacementAttempt attempt) {
+  /**
+   * Records a fault and ejects a machine that is down, for longer after each attempt, so that an
+   * outage does not use up the attempts of VMs.
+   */
+  private void attemptLost(PlacementAttempt attempt) {
     Machine machine = attempt.machine;
     boolean isUnreachable = attempt.outcome == Outcome.UNREACHABLE;
     recordFault(machine, attempt.wasAccepted() ? 0.5 : 2);
@@ -123,8 +140,9 @@
       health.gossip(GossipCodec.unreachable(machine));
     }
     if (isUnreachable || attempt.wasAccepted()) {
-      double timeouts = Math.min(faultScore(machine), 4 * OUTLIER_SEVERITY) / 4;
-      machine.ejectedUntil = state.now.plus(ofSeconds(timeouts * state.timeoutSeconds() / 2));
+      double halfTimeouts = Math.min(faultScore(machine), 4 * OUTLIER_SEVERITY) / 4;
+      machine.ejectedUntil =
+          state.now.plus(ofSeconds(halfTimeouts * state.detectionTimeoutSeconds() / 2));
     }
   }
 
@@ -138,8 +156,10 @@
     return state.isWithin(state.detectionTimeouts(2), state.rejectedAt.get(vm.tenantClass()));
   }
 
-  /** Whether the machine accepted a VM of this tenant class lately. */
-  boolean acceptedLately(Vm vm, Machine machine) {
+  /**
+   * Whether the machine recently accepted a VM of this tenant class and has not rejected one since.
+   */
+  boolean acceptedRecently(Vm vm, Machine machine) {
     Duration span = state.detectionTimeouts(4);
     return machine.hasRejectionBackoffs()
         && state.isWithin(span, machine.rejectionBackoff(vm.tenantClass()).acceptedAt);
--- a/src/main/java/fordridge/scheduling/RuleList.java
+++ b/src/main/java/fordridge/scheduling/RuleList.java
@@ -4,13 +4,12 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Rules in the order of their precedence, applied one at a time until no condition holds.
+ * An ordered list of rules, applied one at a time until no condition holds.
  *
- * <p>After each action all rules are gone through again from the first one. It decides nothing
- * itself.
+ * <p>After each action the conditions are checked again from the first rule on.
  */
 final class RuleList {
-  /** Where the condition holds, the action follows, after which it must not hold for ever. */
+  /** An action that runs when the condition holds; repeated, it must make the condition false. */
   record Rule(BooleanSupplier condition, Runnable action) {}
 
   private final List<Rule> rules;
--- a/src/main/java/fordridge/scheduling/Scheduler.java
+++ b/src/main/java/fordridge/scheduling/Scheduler.java
@@ -24,16 +24,18 @@
 import java.util.Optional;
 
 /**
- * Places VMs on machines: utilization-aware scheduling after UBIS (docs/design.md). It is called by
- * one thread with {@link #advanceTo} and then one input, {@link #start} first. An input changes the
- * state, then the rules act through {@link SchedulerActions} until none holds.
+ * Places VMs on machines by utilization-aware scheduling after UBIS (docs/design.md).
+ *
+ * <p>One thread calls it, for each input with {@link #advanceTo} and then the input's method;
+ * {@link #start} is the first input. An input changes the state; then rules are applied, which act
+ * through {@link SchedulerActions}, until no rule's condition holds.
  */
 public final class Scheduler {
   static final Duration DEFAULT_DETECTION_TIMEOUT = Duration.ofSeconds(3);
   static final Duration DEFAULT_POLL_INTERVAL = Duration.ofSeconds(10);
 
-  /** Samples over which the usual length of lives and starts is learned. */
-  private static final int LEARNING_SAMPLES = 16;
+  /** Window, in samples, of the learned lifetimes and start times of a priority class. */
+  private static final int LEARNING_WINDOW_SAMPLES = 16;
 
   private final SchedulerActions actions;
   private final SchedulerState state = new SchedulerState();
@@ -55,51 +57,58 @@
     selector = new MachineSelector(state, actions, capacity, candidates, outliers);
     rules =
         new RuleList(
-            // The list first: nothing is placed by a list that no longer counts as current.
+            // The machine list comes first: no VM is placed by a list that is not current.
             new Rule(state::needsMachineList, this::watchMachineList),
             new Rule(state::mustDropPending, () -> giveUp(state.pending.takeFirst())),
-            // What can be placed is placed before anything is given up.
+            // Placing comes before giving up: a VM that can be placed is not rejected.
             new Rule(
                 () -> !state.untried.isEmpty() && actions.isInputRead(),
-                () -> placeOrHold(state.untried.remove())),
+                () -> placeOrEnqueue(state.untried.remove())),
             new Rule(() -> state.mayPlacePending() && actions.isInputRead(), this::tryPending),
             new Rule(() -> state.isPast(state.nextProbeAt), health::probeStalest),
             new Rule(state::needsTimer, this::setTimer));
   }
 
-  /** The time of the inputs that follow; it never goes back. */
+  /** Sets the time of the inputs that follow; it must not go back. */
   public void advanceTo(Duration now) {
     state.advanceTo(now);
   }
 
-  /** Starts it; the same seed, settings and inputs give the same actions. */
+  /** Starts the scheduler; the same seed, settings and inputs give the same actions. */
   public void start(long seed, SchedulerSettings settings) {
     state.random = new SeededRandom(seed);
     state.startedAt = state.now;
     state.schedulerCount = settings.schedulerCount();
-    state.apply(settings, Scheduler::unlearned);
+    state.apply(settings, Scheduler::initialClassState);
     capacity.start();
     rules.apply();
   }
 
-  /** Other settings hold from now on; priority classes stay, and what was learned of them. */
+  /** Applies changed settings; known priority classes stay and keep their learned values. */
   public void settingsChanged(SchedulerSettings settings) {
-    state.apply(settings, Scheduler::unlearned);
+    state.apply(settings, Scheduler::initialClassState);
     capacityMayHaveGrown();
   }
 
-  private static PriorityClassState unlearned(PriorityClass settings) {
+  /** State of a new priority class, with estimates from its settings. */
+  private static PriorityClassState initialClassState(PriorityClass settings) {
     double objective = toSeconds(settings.startObjective());
     double lifetime = Math.max(1, settings.startValueSeconds());
-    return new PriorityClassState(LEARNING_SAMPLES, lifetime, objective / 2, 2 * objective);
+    return new PriorityClassState(LEARNING_WINDOW_SAMPLES, lifetime, objective / 2, 2 * objective);
   }
 
-  /** A list follows: complete (machines not in it are gone) or changes, perhaps out of date. */
+  /**
+   * Starts a machine list: either complete, so that machines not in it are gone, or only changes.
+   * It may be out of date.
+   */
   public void machineListStarted(boolean isComplete, boolean mayBeStale) {
     state.listStarted(isComplete, mayBeStale);
   }
 
-  /** A machine of the list, whose place, kind and free capacity are set; a restart opens it. */
+  /**
+   * Adds or updates a machine of the list, whose location, kind and free capacity are already set
+   * in it. If it has restarted, its ejection, load report and past services are cleared.
+   */
   public void machineListed(Machine machine, Machine.Lifecycle lifecycle, Duration startedAt) {
     if (startedAt != null && !startedAt.equals(machine.startedAt)) {
       machine.forgetPastServices();
@@ -109,62 +118,67 @@
     state.listed(machine, lifecycle, startedAt);
   }
 
-  /** The list that was started ends. */
+  /** Ends the machine list that was started. */
   public void machineListCompleted() {
     state.listCompleted();
     refreshMeans();
     capacityMayHaveGrown();
   }
 
-  /** The list could not be had. */
+  /** The machine list could not be received; it is requested again after a delay. */
   public void machineListFailed() {
     state.isWatchRequested = false;
     state.isWatching = false;
-    state.nextWatchAt = state.inTimeouts(1.0 / 4);
+    state.nextWatchAt = state.inDetectionTimeouts(1.0 / 4);
     rules.apply();
   }
 
   /** A client requests a VM. */
   public void vmRequested(Vm vm) {
     state.requestCount++;
-    state.classOf(vm).requests++;
+    state.classOf(vm).requestCount++;
     state.untried.add(vm);
     rules.apply();
   }
 
-  /** All that peers had sent is taken in: what waits for a decision is decided. */
+  /** All input from peers has been read: decisions that waited for it are made. */
   public void inputRead() {
     rules.apply();
   }
 
   /**
-   * The first byte of an offer could be written now: what forbids it, by all that is known by now.
-   * If nothing does, the attempt counts as sent at this instant; else it has to end as not sent.
+   * Decides, when the first byte of an offer can be written, whether the offer may still be sent by
+   * the current state; returns what forbids it. If nothing does, the attempt counts as sent now;
+   * otherwise the caller has to end it as not sent.
    */
   public Optional<OfferObstacle> confirmSend(PlacementAttempt attempt) {
     return candidates.findObstacle(attempt);
   }
 
-  /** Counts of VMs whose attempts ended without their machine's word, for the log. */
+  /**
+   * Describes, for the log, the numbers of attempts that ended without their machine's
+   * confirmation.
+   */
   public String describeUnconfirmedEnds() {
     return state.describeUnconfirmedEnds();
   }
 
-  /** A VM that runs already counts as placed by this scheduler. */
+  /** Adopts a running VM: it counts as placed by this scheduler from now on. */
   public void vmAdopted(Vm vm, Machine machine) {
     state.addHosted(PlacementAttempt.adopted(vm, machine, state.now));
     rules.apply();
   }
 
   /**
-   * Until the machine has sent its inventory, it may run VMs of an earlier incarnation of this
-   * scheduler that are not known: nothing with a spread limit is placed near it.
+   * The inventory of the machine is awaited. Until it arrives, the machine may run unknown VMs that
+   * an earlier incarnation of this scheduler placed, so no VM with a spread limit is placed in the
+   * machine's domain.
    */
   public void inventoryAwaited(Machine machine) {
     state.awaitInventory(machine);
   }
 
-  /** The machine has sent its inventory, and what it runs was adopted; or it is gone. */
+  /** The machine has sent its inventory and its VMs were adopted, or the machine is gone. */
   public void inventoryReceived(Machine machine) {
     state.inventoryReceived(machine);
     capacityMayHaveGrown();
@@ -175,20 +189,20 @@
     state.attemptAccepted(attempt);
     outliers.attemptAccepted(attempt);
     if (state.settings.attempts().acceptedIsRunning()) {
-      started(attempt);
+      recordStart(attempt);
     }
     capacityMayHaveGrown();
   }
 
-  /** An accepted VM runs; for machines that accept VMs before they run. */
+  /** An accepted VM runs. Reported by machines that accept VMs before they run. */
   public void vmStarted(PlacementAttempt attempt) {
     if (attempt.runningSince == null) {
-      started(attempt);
+      recordStart(attempt);
     }
     rules.apply();
   }
 
-  private void started(PlacementAttempt attempt) {
+  private void recordStart(PlacementAttempt attempt) {
     attempt.runningSince = state.now;
     double seconds = state.secondsSince(attempt.sentAt);
     state.classOf(attempt.vm).startSeconds(attempt.isWarmStart).add(seconds);
@@ -205,28 +219,28 @@
     state.usage.usedMemoryRatio.add(memory / attempt.vm.memory);
   }
 
-  /** A VM gets this share of the cores that it needs. */
+  /** A VM receives only this share of the cores that it needs. */
   public void serviceLevelReported(PlacementAttempt attempt, double share) {
     outliers.recordFault(attempt.machine, (1 - share) / 2);
   }
 
-  /** Memory of the VM's machine is getting short: this share is in use. */
+  /** The VM's machine is short of memory, of which this share is in use. */
   public void memoryPressureReported(PlacementAttempt attempt, double share) {
     outliers.recordFault(attempt.machine, share / 2);
   }
 
-  /** The client of a VM does not wait any more. */
+  /** The client no longer waits for the VM. */
   public void clientLeft(Vm vm) {
     state.finish(vm);
     state.untried.remove(vm);
     rules.apply();
   }
 
-  /** An attempt ended; {@code isFinal} if its VM needs no response any more. */
+  /** An attempt ended; {@code isFinal} if its VM needs no further response. */
   public void attemptEnded(
       PlacementAttempt attempt, Outcome outcome, OutcomeReason reason, boolean isFinal) {
     Vm vm = attempt.vm;
-    state.attemptEnded(attempt, outcome, state.now.plus(retries.mayRunFor(vm)));
+    state.attemptEnded(attempt, outcome, state.now.plus(retries.unconfirmedRunTime(vm)));
     capacity.attemptEnded(attempt);
     if (attempt.wasAccepted() && outcome == Outcome.DONE) {
       state.classOf(vm).lifetimeSeconds.add(state.secondsSince(attempt.acceptedAt));
@@ -240,19 +254,27 @@
     capacityMayHaveGrown();
   }
 
-  /** A machine said of a VM whose attempt had ended without its word that it runs no longer. */
+  /**
+   * A machine reported that a VM no longer runs whose attempt had ended without the machine's
+   * confirmation.
+   */
   public void endConfirmed(String vmId, Machine machine) {
     state.endConfirmed(vmId, machine);
     capacityMayHaveGrown();
   }
 
-  /** A machine reported its load; null where capacity changed at large. */
+  /** A machine reported its load; null if capacity may have grown without a report of a machine. */
   public void loadReported(Machine machine) {
     health.loadReported(machine);
     capacityMayHaveGrown();
   }
 
-  /** A probe ended: whether the machine responded, and whether with a load report. */
+  /**
+   * A probe ended.
+   *
+   * @param isHealthy whether the machine responded
+   * @param hasReport whether the response had a load report
+   */
   public void probeCompleted(Machine machine, boolean isHealthy, boolean hasReport) {
     machine.isProbing = false;
     if (isHealthy && hasReport) {
@@ -264,34 +286,40 @@
     capacityMayHaveGrown();
   }
 
-  /** Gossip of another scheduler; passed over unless our own list names its machine. */
+  /**
+   * Gossip of another scheduler arrived; it is ignored unless this scheduler's list names its
+   * machine.
+   */
   public void gossipReceived(String text) {
-    GossipMessage message = state.usableGossip(text);
+    GossipMessage message = state.decodeGossip(text);
     Machine machine = state.machineOf(message);
     if (message instanceof GossipMessage.LoadReported load) {
       machine.loadGossiped(load, state.now);
       capacityMayHaveGrown();
     } else if (message instanceof GossipMessage.Unreachable) {
-      machine.ejectUntil(state.inTimeouts(1.0 / 3));
+      machine.ejectUntil(state.inDetectionTimeouts(1.0 / 3));
     } else if (message instanceof GossipMessage.TenantClassRejected rejected) {
       var tenantClass = state.tenantClasses.get(rejected.tenantClass());
-      machine.rejectionBackoff(tenantClass).extendUntil(state.inTimeouts(2));
+      machine.rejectionBackoff(tenantClass).extendUntil(state.inDetectionTimeouts(2));
     }
   }
 
-  /** So many schedulers share the cluster from now on. */
+  /** The number of schedulers that share the cluster changed. */
   public void schedulerCountChanged(int schedulers) {
     state.schedulerCount = schedulers;
     capacityMayHaveGrown();
   }
 
-  /** Nothing more is placed: pending VMs are answered at once, others when their attempt ends. */
+  /**
+   * Shutdown began: no VM is placed any more. Pending VMs get their final response at once, others
+   * when their attempt ends.
+   */
   public void shutdownStarted() {
     state.isStopping = true;
     rules.apply();
   }
 
-  /** The timer that was set fired. */
+  /** The scheduled timer fired. */
   public void timerFired() {
     state.timerAt = null;
     capacityMayHaveGrown();
@@ -307,49 +335,58 @@
     actions.watchMachineList(true);
   }
 
-  /** A list that must be watched counts as current for four intervals after a failure. */
+  /**
+   * Whether VMs may be placed by the machine list. After the watch has failed, the last list counts
+   * as current for four poll intervals.
+   */
   private boolean isMachineListCurrent() {
     Duration interval = state.settings.discovery().pollInterval();
-    boolean isPushed = !state.isListWatched() || state.isWatching;
-    return isPushed || state.isWithin(interval.multipliedBy(4), state.listReceivedAt);
+    boolean needsNoPolling = !state.isListWatched() || state.isWatching;
+    return needsNoPolling || state.isWithin(interval.multipliedBy(4), state.listReceivedAt);
   }
 
+  /** Sends the final response to a VM that gets no further attempt. */
   private void giveUp(Vm vm) {
     vm.isFinished = true;
     if (retries.mayReject(vm)) {
-      boolean hasAdvice = state.settings.attempts().sendsRetryAfter();
-      actions.reject(vm, hasAdvice ? state.settingsOf(vm).startObjective() : Duration.ZERO);
+      boolean sendsRetryAfter = state.settings.attempts().sendsRetryAfter();
+      actions.reject(vm, sendsRetryAfter ? state.settingsOf(vm).startObjective() : Duration.ZERO);
     } else {
       actions.fail(vm);
     }
   }
 
-  private void placeOrHold(Vm vm) {
+  private void placeOrEnqueue(Vm vm) {
     if (state.isPast(retries.giveUpAt(vm)) || state.unplaceable.covers(vm) || !place(vm)) {
-      hold(vm);
+      enqueueOrGiveUp(vm);
     }
   }
 
-  /** False if no machine has capacity; remembered where that is so for all VMs like it. */
+  /**
+   * Sends an attempt for the VM; returns false if no machine has capacity. If that holds for all
+   * VMs of the class that request no less, the VM is recorded as unplaceable.
+   */
   private boolean place(Vm vm) {
     Machine machine = select(vm);
     if (machine != null) {
       sendAttempt(new PlacementAttempt(vm, machine, vm.attempts.size(), state.now));
       return true;
     }
-    boolean isLikeOthers =
+    boolean isRepresentative =
         vm.attempts.isEmpty()
             && state.settingsOf(vm).isSpreadUnlimited()
             && !state.rejectedAt.containsKey(vm.tenantClass())
             && !actions.isConstrained(vm);
-    if (isLikeOthers || selector.isTooLargeForAll(vm)) {
+    if (isRepresentative || selector.isTooLargeForAll(vm)) {
       state.unplaceable.add(vm);
     }
     return false;
   }
 
   private Machine select(Vm vm) {
-    if (retries.waitsForNewList(vm) || retries.waitsAfterNotSent(vm) || !isMachineListCurrent()) {
+    if (retries.waitsForNewList(vm)
+        || retries.waitsAfterUnsentAttempt(vm)
+        || !isMachineListCurrent()) {
       return null;
     }
     if (!state.now.equals(state.meansRefreshedAt)) {
@@ -375,52 +412,60 @@
     actions.sendAttempt(attempt, attempt.timeout);
   }
 
-  /** Behind others of its rank once it comes late: else, in overload, every start would be late. */
-  private void hold(Vm vm) {
+  /**
+   * Adds the VM to the pending queue or, if its time is over, gives it up. A VM that waited three
+   * quarters of its start objective or that its client requests again waits behind the others of
+   * its rank: otherwise, in overload, every start would be late.
+   */
+  private void enqueueOrGiveUp(Vm vm) {
     Duration giveUpAt = retries.giveUpAt(vm);
     if (state.isPast(giveUpAt)) {
       giveUp(vm);
       return;
     }
     PriorityClass settings = state.settingsOf(vm);
-    Duration inTime = vm.arrivedAt.plus(scale(settings.startObjective(), 3.0 / 4));
-    boolean isLate = vm.isClientRetry || state.isPast(inTime);
+    Duration lateFrom = vm.arrivedAt.plus(scale(settings.startObjective(), 3.0 / 4));
+    boolean isLate = vm.isClientRetry || state.isPast(lateFrom);
     int rank = 2 * settings.rank() + (isLate ? 0 : 1);
-    // VMs of one shape differ in nothing that a machine is chosen by. Where an attempt may have
-    // run,
-    // earlier machines bind the choice: such a VM has a shape of its own.
-    boolean isBound = !settings.isIdempotent() && vm.firstThatMayHaveRun() != null;
+    // VMs of one shape are alike in everything that a machine is chosen by. Where an earlier
+    // attempt
+    // may have run, its machine limits the choice, so the VM has a shape of its own.
+    boolean isBound = !settings.isIdempotent() && vm.firstAttemptThatMayHaveRun() != null;
     Object boundTo = isBound ? vm : retries.excludedMachine(vm);
     boolean isAnyService = settings.isSpreadUnlimited() && !actions.isConstrained(vm);
     var shape = PendingQueue.Shape.of(vm, isAnyService ? 0 : vm.service, boundTo, isLate);
-    state.pending.add(vm, rank, shape, isLate ? giveUpAt : min(inTime, giveUpAt));
+    state.pending.add(vm, rank, shape, isLate ? giveUpAt : min(lateFrom, giveUpAt));
   }
 
   /**
-   * Once an instant: what is due first, then each group through its oldest VM, by rank and age, as
-   * long as its VMs find capacity. So the work grows with the number of shapes, not of VMs. Where
-   * input has to be read in between, it goes on behind the last group that was tried.
+   * Tries the pending VMs, at most once per instant: first those that are due, then the oldest VM
+   * of each group in order of rank and age. A group is tried again while its VMs find capacity, so
+   * the work grows with the number of shapes and not of VMs. If input has to be read in between,
+   * the next call continues behind the last group tried.
    */
   private void tryPending() {
     state.pendingTried();
-    state.pending.takeAllDue(state.now, this::hold);
-    Vm vm = state.pending.next(state.lastPendingTried);
+    state.pending.takeAllDue(state.now, this::enqueueOrGiveUp);
+    Vm vm = state.pending.next(state.lastTriedPending);
     while (vm != null && actions.isInputRead()) {
       if (!state.unplaceable.covers(vm) && place(vm)) {
         state.pending.remove(vm);
       }
-      state.lastPendingTried = vm;
+      state.lastTriedPending = vm;
       vm = state.pending.next(vm);
     }
     if (vm == null) {
-      state.lastPendingTried = null;
+      state.lastTriedPending = null;
     } else {
-      // The rest has its turn once the input is read again.
+      // The remaining groups are tried once the input has been read.
       state.capacityMayHaveGrown();
     }
   }
 
-  /** In time for the shortest start deadline: one counted in ticks may come too late. */
+  /**
+   * Schedules the timer for a fraction of the shortest start deadline, as a fixed number of ticks
+   * could be too long for it.
+   */
   private void setTimer() {
     state.timerAt = state.now.plus(ofSeconds(state.shortestStartDeadlineSeconds() / 32));
     actions.scheduleTimer(state.timerAt.minus(state.now));
--- a/src/main/java/fordridge/scheduling/SchedulerSettingsReader.java
+++ b/src/main/java/fordridge/scheduling/SchedulerSettingsReader.java
@@ -15,10 +15,10 @@
 import java.util.List;
 
 /**
- * Reads {@link SchedulerSettings} out of settings as they were received.
+ * Reads {@link SchedulerSettings} from settings as they were received.
  *
- * <p>It knows the names and words of the wire and nothing else; where a default is a judgement, it
- * is a constant of the class that decides by it.
+ * <p>It knows only the names and values of the wire format; a default that affects placement
+ * decisions is a constant of the class that uses it.
  */
 public final class SchedulerSettingsReader {
   private static final int NO_KIND = -1;
@@ -29,7 +29,7 @@
     this.values = values;
   }
 
-  /** The settings under the given values; what they do not name has its default. */
+  /** Reads the settings; those that the values do not contain get their defaults. */
   public static SchedulerSettings read(SettingsValues values) {
     return new SchedulerSettingsReader(values).settings();
   }
@@ -90,16 +90,16 @@
         values.item("extra.startSeconds", index, 0));
   }
 
-  private static RetrySafety retrySafety(String word) {
-    return switch (word) {
+  private static RetrySafety retrySafety(String value) {
+    return switch (value) {
       case "retryable" -> RetrySafety.IDEMPOTENT;
       case "dedup" -> RetrySafety.IDEMPOTENT_WITH_KEY;
       default -> RetrySafety.NON_IDEMPOTENT;
     };
   }
 
-  private static TopologyDomain domain(String word) {
-    return switch (word) {
+  private static TopologyDomain domain(String value) {
+    return switch (value) {
       case "machine" -> TopologyDomain.MACHINE;
       case "zone" -> TopologyDomain.ZONE;
       case "all" -> TopologyDomain.CLUSTER;
@@ -112,9 +112,9 @@
   }
 
   private TopologyDomain spreadDomain(int index) {
-    List<?> words = values.list("extra.classSpread");
-    boolean isLimited = index < words.size() && !words.get(index).equals("off");
-    return isLimited ? domain(String.valueOf(words.get(index))) : TopologyDomain.NONE;
+    List<?> names = values.list("extra.classSpread");
+    boolean isLimited = index < names.size() && !names.get(index).equals("off");
+    return isLimited ? domain(String.valueOf(names.get(index))) : TopologyDomain.NONE;
   }
 
   private List<String> tenants() {
@@ -138,18 +138,18 @@
   }
 
   private SchedulerSettings.Discovery discovery() {
-    boolean watched = values.text("discovery", "push").equals("ask");
+    boolean isWatched = values.text("discovery", "push").equals("ask");
     return new SchedulerSettings.Discovery(
-        watched ? DiscoveryMode.WATCH : DiscoveryMode.PUSH,
+        isWatched ? DiscoveryMode.WATCH : DiscoveryMode.PUSH,
         values.micros("obligations.askWithinUs", Scheduler.DEFAULT_POLL_INTERVAL));
   }
 
   private SchedulerSettings.Attempts attempts() {
-    boolean onStart = values.text("extra.saysYes", "running").equals("running");
+    boolean acceptsOnStart = values.text("extra.saysYes", "running").equals("running");
     return new SchedulerSettings.Attempts(
         (int) Math.ceil(values.number("caps.mostTries", RetryPolicy.DEFAULT_MAX_ATTEMPTS)),
         values.flag("caps.retryAfter", false),
-        onStart ? AcceptanceMode.RUNNING : AcceptanceMode.ADMITTED);
+        acceptsOnStart ? AcceptanceMode.RUNNING : AcceptanceMode.ADMITTED);
   }
 
   private SchedulerSettings.SlowStart slowStart() {
--- a/src/main/java/fordridge/simulation/SimulatedScheduler.java
+++ b/src/main/java/fordridge/simulation/SimulatedScheduler.java
@@ -20,25 +20,25 @@
 import java.util.Map;
 
 /**
- * One scheduler of the simulation: turns its events into inputs, and what it does into actions of
- * the wire.
+ * One scheduler of the simulation: translates the simulator's events into inputs, and the
+ * scheduler's actions into actions of the wire format.
  */
 final class SimulatedScheduler implements SchedulerActions {
   private final SchedulerInputs<Long> inputs = new SchedulerInputs<>(this, id -> id);
   private final Scheduler scheduler = inputs.scheduler;
   private final Map<Long, List<Object>> machineLists;
 
-  /** Takes the actions of the event that is being handled. */
+  /** Output for the actions of the event that is being handled. */
   private JsonGenerator actions;
 
-  /** A scheduler whose events refer to those machine lists by their slots. */
+  /** Creates a scheduler whose events refer to the machine lists by their slots. */
   SimulatedScheduler(Map<Long, List<Object>> machineLists) {
     this.machineLists = machineLists;
   }
 
   /** Handles an event; its actions are written before this returns. */
-  void handle(SimulatorEvent event, JsonGenerator to) {
-    actions = to;
+  void handle(SimulatorEvent event, JsonGenerator output) {
+    actions = output;
     scheduler.advanceTo(event.clock());
     switch (event.name()) {
       case "create" -> start(event);
@@ -62,21 +62,21 @@
   }
 
   private void machineListReceived(SimulatorEvent event) {
-    String how = event.text("how");
-    if (how.equals("error")) {
+    String origin = event.text("how");
+    if (origin.equals("error")) {
       scheduler.machineListFailed();
       return;
     }
     List<Object> lines = machineLists.get(event.whole("slot"));
     if (lines == null) {
       throw new JsonFields.MalformedInputException(
-          event.path() + ": field 'slot' names a list that never came");
+          event.path() + ": field 'slot' refers to a machine list that was not received");
     }
     List<ListedMachine<Long>> listed = new ArrayList<>(lines.size());
     for (int i = 0; i < lines.size(); i++) {
       listed.add(listedMachine(lines.get(i), event.path() + ".lines[" + i + "]"));
     }
-    inputs.list(!how.equals("diff"), how.equals("disk"), listed);
+    inputs.list(!origin.equals("diff"), origin.equals("disk"), listed);
   }
 
   private static ListedMachine<Long> listedMachine(Object line, String path) {
@@ -93,14 +93,14 @@
         startedAtMicros == 0 ? null : micros(startedAtMicros));
   }
 
-  private static Machine.Lifecycle lifecycle(String word, String path) {
-    return switch (word) {
+  private static Machine.Lifecycle lifecycle(String value, String path) {
+    return switch (value) {
       case "live" -> Machine.Lifecycle.LIVE;
       case "quiescing" -> Machine.Lifecycle.DRAINING;
       case "dead" -> Machine.Lifecycle.GONE;
       default ->
           throw new JsonFields.MalformedInputException(
-              path + ": field 'lifecycle' is not a known word");
+              path + ": field 'lifecycle' is '" + value + "', not 'live', 'quiescing' or 'dead'");
     };
   }
 
@@ -174,11 +174,15 @@
       case 444 -> PlacementAttempt.Outcome.CANCELLED;
       case 409 -> PlacementAttempt.Outcome.NOT_SENT;
       default ->
-          throw new JsonFields.MalformedInputException(path + ": field 'rc' is not a known result");
+          throw new JsonFields.MalformedInputException(
+              path + ": field 'rc' is not a known result code: " + code);
     };
   }
 
-  /** The wire numbers reasons as the enum does. */
+  /**
+   * The reason of a code; codes on the wire are the ordinals of the enum, and unknown ones count as
+   * unspecified.
+   */
   private static PlacementAttempt.OutcomeReason reason(int code) {
     PlacementAttempt.OutcomeReason[] reasons = PlacementAttempt.OutcomeReason.values();
     boolean isKnown = code > 0 && code < reasons.length;
@@ -200,12 +204,12 @@
     }
     boolean isHealthy = event.whole("rc") == 200;
     boolean hasReport = takeLoadReport(machine, event);
-    event.whole("elapsedUs", 0); // not used, but an event with a wrong one is malformed
+    event.whole("elapsedUs", 0); // not used, but an invalid value is an error
     scheduler.probeCompleted(machine, isHealthy, hasReport);
   }
 
   private void timerFired(SimulatorEvent event) {
-    event.whole("handle"); // not used, but an event without it is malformed
+    event.whole("handle"); // not used, but a missing value is an error
     scheduler.timerFired();
   }
 
@@ -235,7 +239,7 @@
     return duration.toNanos() / 1000;
   }
 
-  /** Writes an action: its name, then pairs of a field and its value. */
+  /** Writes an action: its name, then its fields, given as alternating names and values. */
   private void write(String name, Object... fields) {
     try {
       actions.writeStartObject();
--- a/src/main/java/fordridge/simulation/SimulatorAdapter.java
+++ b/src/main/java/fordridge/simulation/SimulatorAdapter.java
@@ -18,10 +18,11 @@
 import java.util.TreeMap;
 
 /**
- * The wire of the simulator: batches of events in, one reply with the actions for each out.
+ * Protocol adapter for the simulator: reads batches of events and writes for each one reply with
+ * the resulting actions.
  *
- * <p>It runs the simulated schedulers by their ids and keeps the machine lists that events refer
- * to. It decides nothing. For one thread.
+ * <p>It keeps the simulated schedulers by id and the machine lists that events refer to, and makes
+ * no decisions. Not thread-safe.
  */
 public final class SimulatorAdapter {
   private static final JsonFactory FACTORY = new JsonFactory();
@@ -36,7 +37,7 @@
   private final Map<Long, SimulatedScheduler> schedulers = new TreeMap<>();
   private final Map<Long, List<Object>> machineLists = new TreeMap<>();
 
-  /** An adapter between these streams, which it does not close. */
+  /** Creates an adapter between the streams, which it does not close. */
   public SimulatorAdapter(InputStream in, OutputStream out, PrintStream err) {
     this.in =
         new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), INPUT_BUFFER_CHARS);
@@ -44,7 +45,7 @@
     this.err = err;
   }
 
-  /** Serves until the input ends; the result is the exit code. */
+  /** Handles batches until the input ends; returns the exit code. */
   public int run() throws IOException {
     long lineNumber = 0;
     for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -71,11 +72,11 @@
     generator.writeNumberField("n", number);
     generator.writeArrayFieldStart("groups");
     int index = 0;
-    for (Object each : JsonFields.list(batch, "groups", "batch")) {
+    for (Object item : JsonFields.list(batch, "groups", "batch")) {
       String path = "groups[" + index++ + "]";
-      Map<String, Object> group = JsonFields.object(each, path);
+      Map<String, Object> group = JsonFields.object(item, path);
       if (group.get("placerId") == null) {
-        readListsOfNoScheduler(group, path);
+        readSharedMachineLists(group, path);
       } else {
         handleGroup(group, path, clock, generator);
       }
@@ -86,15 +87,18 @@
     return reply.append('\n').toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** A machine list belongs to no scheduler: it may be a group, or in a group, without one. */
-  private void readListsOfNoScheduler(Map<String, Object> group, String path) {
+  /**
+   * Reads machine lists from a group without a scheduler: such a group is a list itself or contains
+   * lists, as all schedulers share them.
+   */
+  private void readSharedMachineLists(Map<String, Object> group, String path) {
     if ("inventory".equals(group.get("msg"))) {
       readMachineList(group, path);
     } else if (group.get("input") != null) {
       int index = 0;
-      for (Object each : JsonFields.list(group, "input", path)) {
+      for (Object item : JsonFields.list(group, "input", path)) {
         String eventPath = path + ".input[" + index++ + "]";
-        readMachineList(JsonFields.object(each, eventPath), eventPath);
+        readMachineList(JsonFields.object(item, eventPath), eventPath);
       }
     }
   }
@@ -112,9 +116,9 @@
     generator.writeArrayFieldStart("output");
     int index = 0;
     boolean hasFailed = false;
-    for (Object each : JsonFields.list(group, "input", path)) {
+    for (Object item : JsonFields.list(group, "input", path)) {
       String eventPath = path + ".input[" + index++ + "]";
-      Map<String, Object> event = JsonFields.object(each, eventPath);
+      Map<String, Object> event = JsonFields.object(item, eventPath);
       String name = JsonFields.text(event, "msg", eventPath);
       if (name.equals("inventory")) {
         readMachineList(event, eventPath);
@@ -131,7 +135,10 @@
     generator.writeEndObject();
   }
 
-  /** The scheduler that an event is for; null if there is none, or the event ends it. */
+  /**
+   * Returns the scheduler that an event is for, after creating or removing it if the event says so;
+   * null if there is none.
+   */
   private SimulatedScheduler schedulerFor(long id, String eventName) {
     if (eventName.equals("create")) {
       schedulers.put(id, new SimulatedScheduler(machineLists));
@@ -141,7 +148,10 @@
     return schedulers.get(id);
   }
 
-  /** False if the scheduler failed, which the reply tells; the rest of the group is passed over. */
+  /**
+   * Returns false if the scheduler failed; the failure is written to the reply, and the other
+   * events of the group are ignored.
+   */
   private boolean handleEvent(
       long id, SimulatedScheduler scheduler, SimulatorEvent event, JsonGenerator generator)
       throws IOException {
--- a/src/main/java/fordridge/simulation/SimulatorEvent.java
+++ b/src/main/java/fordridge/simulation/SimulatorEvent.java
@@ -8,10 +8,10 @@
 /**
  * An event of the simulator for one scheduler, with typed access to its fields.
  *
- * @param name what happened, in the wire's words
- * @param fields the fields as parsed
- * @param path where the event is in its batch, for errors
- * @param clock when it happens
+ * @param name name of the event on the wire
+ * @param fields the parsed fields
+ * @param path position of the event in its batch, for error messages
+ * @param clock time of the event
  */
 record SimulatorEvent(String name, Map<String, Object> fields, String path, Duration clock) {
   String text(String field) {
@@ -22,16 +22,16 @@
     return JsonFields.whole(fields, field, path);
   }
 
-  long whole(String field, long absent) {
-    return JsonFields.whole(fields, field, path, absent);
+  long whole(String field, long defaultValue) {
+    return JsonFields.whole(fields, field, path, defaultValue);
   }
 
   double number(String field) {
     return JsonFields.number(fields, field, path);
   }
 
-  double number(String field, double absent) {
-    return JsonFields.number(fields, field, path, absent);
+  double number(String field, double defaultValue) {
+    return JsonFields.number(fields, field, path, defaultValue);
   }
 
   boolean flag(String field) {
@@ -43,7 +43,7 @@
     return JsonFields.object(fields.get(field), path + "." + field);
   }
 
-  /** A span of time, which is told in microseconds. */
+  /** A duration, given in microseconds. */
   Duration micros(String field) {
     return Duration.of(whole(field), ChronoUnit.MICROS);
   }
