--- a/src/test/java/fordridge/ArchitectureTest.java
+++ b/src/test/java/fordridge/ArchitectureTest.java
@@ -13,8 +13,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Arrows between packages point down, and what decides stays free of sockets, files, threads and
- * clocks.
+ * Dependencies between packages point downward, and packages that make decisions do not depend on
+ * sockets, files, threads or clocks.
  */
 class ArchitectureTest {
   private static final JavaClasses ALL =
@@ -23,7 +23,7 @@
           .importPackages("fordridge");
 
   /**
-   * Packages that decide or keep state, and reach the world only through the interfaces that they
+   * Packages that make decisions or keep state; they use I/O only through interfaces that they
    * declare.
    */
   private static final String[] FREE_OF_IO = {
@@ -36,7 +36,7 @@
   };
 
   @Example
-  void arrowsPointDown() {
+  void dependenciesPointDownward() {
     layeredArchitecture()
         .consideringOnlyDependenciesInLayers()
         .layer("cli")
@@ -83,7 +83,7 @@
   }
 
   @Example
-  void decisionsAreFreeOfTheWorld() {
+  void decidingPackagesDependOnNoSocketsFilesThreadsOrClocks() {
     classes()
         .that(resideInAnyPackage(FREE_OF_IO))
         .should()
@@ -125,7 +125,7 @@
   }
 
   @Example
-  void theModelOfAMachineRunsWithoutSockets() {
+  void machineModelDependsOnNoSocketsOrFiles() {
     noClasses()
         .that()
         .haveSimpleName("MachineModel")
--- a/src/test/java/fordridge/scheduling/CapacityModelTest.java
+++ b/src/test/java/fordridge/scheduling/CapacityModelTest.java
@@ -14,7 +14,7 @@
   void regularCapacityComesFirst() {
     SchedulerFixture fixture = new SchedulerFixture(true, "cell");
     fixture.values.put("nInstances", 1L);
-    fixture.begin(1, 3);
+    fixture.start(1, 3);
     fixture.machines.get(0).freeCores = 0;
     fixture.machines.get(1).freeCores = 0;
     fixture.reportLoad(fixture.machines.get(0), 16, 32);
@@ -23,15 +23,15 @@
   }
 
   /**
-   * Many schedulers see the same regular capacity; were all to take it, it would be filled many
-   * times.
+   * Guards against many schedulers that see the same regular capacity and all place VMs on it,
+   * which would overfill it many times.
    */
   @Example
-  void regularCapacityIsLeftToThePartOfVmsThatItHolds() {
+  void schedulersTogetherDoNotOverfillRegularCapacity() {
     SchedulerFixture fixture = new SchedulerFixture(true, "cell");
     fixture.values.put("nInstances", 200L);
     fixture.values.put("caps.mostTries", 1L);
-    fixture.begin(1, 8);
+    fixture.start(1, 8);
     fixture.machines.forEach(m -> m.freeCores = -1);
     fixture.machines.get(0).freeCores = 2;
     fixture.machines.forEach(m -> fixture.reportLoad(m, m.cores * 0.7, m.memory * 0.7));
@@ -42,16 +42,19 @@
       fixture.machines.forEach(m -> m.faultScore.clear());
       fixture.advance(Duration.ofMillis(10));
     }
-    long there =
+    long vmsOnRegularCapacity =
         fixture.vms.stream()
             .filter(v -> v.attempts.get(0).machine == fixture.machines.get(0))
             .count();
-    assertThat(there).isBetween(2L, 40L);
+    assertThat(vmsOnRegularCapacity).isBetween(2L, 40L);
   }
 
-  /** Without a report, a machine of which much is requested must not look like an empty one. */
+  /**
+   * Guards against a machine without a load report that looks empty although much of it is
+   * requested.
+   */
   @Example
-  void unreportedUseFollowsRequestsInTheListAndFirstUsageReports() {
+  void useWithoutLoadReportsIsEstimatedFromRequests() {
     SchedulerFixture fixture = SchedulerFixture.started(2);
     Vm first = fixture.request("retryable", 2, 2, 1);
     fixture.accept(first.attempts.get(0));
@@ -82,8 +85,8 @@
   }
 
   /**
-   * Lower classes fill what use allows first; those above find the rest in time only if it was
-   * left.
+   * Guards against lower classes that fill the memory up to the utilization limit, so that VMs of
+   * the top rank find no capacity in time.
    */
   @Example
   void lowerPriorityClassesLeaveMemoryToTheTopRank() {
@@ -97,11 +100,11 @@
   }
 
   /**
-   * A few large VMs of a lower class fill nothing up; pending under the lower limit they would
-   * never start.
+   * Guards against a few large VMs of a lower class that never start because of its lower memory
+   * limit, although they are too few to fill the memory.
    */
   @Example
-  void rareLowerPriorityClassMayFillAsMuchAsTheOthers() {
+  void rareLowerPriorityClassHasTheFullMemoryLimit() {
     SchedulerFixture fixture = SchedulerFixture.started(2);
     fixture.machines.forEach(m -> m.freeMemory = 0);
     fixture.reportLoad(fixture.machines.get(0), 16, 0.18 * 32);
--- a/src/test/java/fordridge/scheduling/ConfirmSendTest.java
+++ b/src/test/java/fordridge/scheduling/ConfirmSendTest.java
@@ -14,9 +14,9 @@
 import net.jqwik.api.Example;
 
 /**
- * An attempt that was decided waits to be sent, and something is learned meanwhile that forbids it:
- * one test for each such fact. The class is limited to two VMs of a service on a machine, and to
- * one kind, of which there is one machine.
+ * Tests, one per reason, that an attempt that was decided earlier is not sent if its sending has
+ * become forbidden since. The VM's priority class is limited to two VMs of a service per machine,
+ * and to one kind of machine, of which there is one machine.
  */
 class ConfirmSendTest {
   private static final long SERVICE = 7;
@@ -24,15 +24,15 @@
   private final SchedulerFixture fixture = SchedulerFixture.started(2);
   private final Machine machine = fixture.machines.get(1);
   private Duration ejectedUntil = Duration.ZERO;
-  private final PlacementAttempt waiting = decide("fragile");
+  private final PlacementAttempt unsentAttempt = requestVm("fragile");
 
-  private PlacementAttempt decide(String priorityClass) {
+  private PlacementAttempt requestVm(String priorityClass) {
     Vm vm = fixture.request(priorityClass, 1, 1, SERVICE);
     assertThat(vm.attempts).hasSize(1);
     return vm.lastAttempt();
   }
 
-  private Vm handOver(long service) {
+  private Vm adoptVm(long service) {
     Vm vm = new Vm("adopted" + fixture.vms.size() + service);
     vm.priorityClass = "fragile";
     vm.cores = 1;
@@ -45,54 +45,56 @@
   private Optional<OfferObstacle> obstacle() {
     machine.ejectedUntil = ejectedUntil;
     fixture.scheduler.advanceTo(fixture.now);
-    return fixture.scheduler.confirmSend(waiting);
+    return fixture.scheduler.confirmSend(unsentAttempt);
   }
 
   @Example
-  void nothingWasLearned() {
-    handOver(SERVICE + 1);
-    handOver(SERVICE);
+  void attemptIsSentIfNothingForbidsIt() {
+    adoptVm(SERVICE + 1);
+    adoptVm(SERVICE);
     fixture.now = fixture.now.plusMillis(500);
-    assertThat(waiting.machine).isSameAs(machine);
+    assertThat(unsentAttempt.machine).isSameAs(machine);
     assertThat(obstacle()).isEmpty();
   }
 
   @Example
   void vmsOfItsServiceWereHandedOver() {
-    handOver(SERVICE);
-    handOver(SERVICE);
+    adoptVm(SERVICE);
+    adoptVm(SERVICE);
     assertThat(obstacle()).contains(OfferObstacle.SPREAD_LIMIT);
   }
 
   @Example
-  void vmsWereHandedOverAndOneHasEnded() {
-    Vm ended = handOver(SERVICE);
-    handOver(SERVICE);
+  void endedVmNoLongerCountsForTheSpreadLimit() {
+    Vm ended = adoptVm(SERVICE);
+    adoptVm(SERVICE);
     fixture.end(ended.acceptedAttempt, Outcome.DONE, OutcomeReason.UNSPECIFIED);
     assertThat(obstacle()).isEmpty();
   }
 
   @Example
   void aVmOfItsServiceWasHandedOverWhileAnotherAttemptIsOut() {
-    decide("fragile");
-    handOver(SERVICE);
+    requestVm("fragile");
+    adoptVm(SERVICE);
     assertThat(obstacle()).contains(OfferObstacle.SPREAD_LIMIT);
   }
 
   @Example
   void anAttemptMayStillRunThoughItsConnectionBroke() {
-    handOver(SERVICE);
-    PlacementAttempt broken = decideElsewhereOfService();
+    adoptVm(SERVICE);
+    PlacementAttempt broken = adoptSecondVmOfService();
     broken.mayStillRun = true;
     fixture.end(broken, Outcome.RESET, OutcomeReason.UNSPECIFIED);
-    assertThat(obstacle()).as("the broken one may run").contains(OfferObstacle.SPREAD_LIMIT);
+    assertThat(obstacle())
+        .as("an attempt whose connection broke may still run")
+        .contains(OfferObstacle.SPREAD_LIMIT);
 
     fixture.scheduler.endConfirmed(broken.vm.id, machine);
-    assertThat(obstacle()).as("its machine has said that it does not").isEmpty();
+    assertThat(obstacle()).as("its machine has confirmed that the VM does not run").isEmpty();
   }
 
-  /** Another attempt of the service at the same machine, which its limit of two allows. */
-  private PlacementAttempt decideElsewhereOfService() {
+  /** Adopts another VM of the service on the same machine, where its limit is two. */
+  private PlacementAttempt adoptSecondVmOfService() {
     Vm vm = new Vm("broken");
     vm.priorityClass = "fragile";
     vm.cores = 1;
@@ -103,8 +105,8 @@
   }
 
   @Example
-  void aMachineThatRestartedRunsNothingOfWhatWasLost() {
-    PlacementAttempt lost = decideElsewhereOfService();
+  void lostVmDoesNotCountAfterARestartOfItsMachine() {
+    PlacementAttempt lost = adoptSecondVmOfService();
     lost.mayStillRun = true;
     fixture.end(lost, Outcome.RESET, OutcomeReason.UNSPECIFIED);
     fixture.now = fixture.now.plusSeconds(30);
@@ -115,19 +117,19 @@
 
   @Example
   void itsClientHasLeft() {
-    fixture.finished.add(waiting.vm);
-    fixture.scheduler.clientLeft(waiting.vm);
+    fixture.finished.add(unsentAttempt.vm);
+    fixture.scheduler.clientLeft(unsentAttempt.vm);
     assertThat(obstacle()).contains(OfferObstacle.CLIENT_LEFT);
   }
 
   @Example
   void itsDeadlineHasPassed() {
-    fixture.now = waiting.vm.deadline;
+    fixture.now = unsentAttempt.vm.deadline;
     assertThat(obstacle()).contains(OfferObstacle.DEADLINE_PASSED);
   }
 
   @Example
-  void itsMachineDrainsOrIsGone() {
+  void machineIsDrainingOrGone() {
     fixture.listMachine(machine, Lifecycle.DRAINING, null);
     assertThat(obstacle()).contains(OfferObstacle.MACHINE_NOT_LIVE);
     fixture.listMachine(machine, Lifecycle.GONE, null);
@@ -135,7 +137,7 @@
   }
 
   @Example
-  void itsMachineIsOfAnotherKind() {
+  void machineIsOfAnotherKind() {
     machine.kind = "small";
     fixture.listMachine(machine, Lifecycle.LIVE, null);
     assertThat(obstacle()).contains(OfferObstacle.KIND_NOT_ALLOWED);
@@ -149,9 +151,9 @@
 
   @Example
   void theLimitWasLoweredByAReload() {
-    handOver(SERVICE);
+    adoptVm(SERVICE);
     assertThat(obstacle()).isEmpty();
-    fixture.change("extra.classMost", List.of(9L, 3L, 1L));
+    fixture.changeSetting("extra.classMost", List.of(9L, 3L, 1L));
     assertThat(obstacle()).contains(OfferObstacle.SPREAD_LIMIT);
   }
 
@@ -187,7 +189,7 @@
     Vm vm = fixture.request("dedup", 1, 1, 50);
     fixture.end(vm.lastAttempt(), Outcome.RESET, OutcomeReason.UNSPECIFIED);
     PlacementAttempt second = vm.lastAttempt();
-    assertThat(second.number).as("tried again near the first").isEqualTo(1);
+    assertThat(second.number).as("tried again in the scope of the first").isEqualTo(1);
     assertThat(fixture.scheduler.confirmSend(second)).isEmpty();
     fixture.now = fixture.now.plus(Duration.ofSeconds(3));
     fixture.scheduler.advanceTo(fixture.now);
--- a/src/test/java/fordridge/scheduling/HealthCheckerTest.java
+++ b/src/test/java/fordridge/scheduling/HealthCheckerTest.java
@@ -20,7 +20,7 @@
 /** Probes and gossip. */
 class HealthCheckerTest {
   @Example
-  void reportIsGossipedOnceAnIntervalAndNeverWhereGossipIsDear() {
+  void reportIsGossipedOncePerIntervalUnlessGossipCostsTooMuch() {
     SchedulerFixture fixture = SchedulerFixture.gossiping(2);
     fixture.reportLoad(fixture.machines.get(0), 4, 8);
     fixture.advance(Duration.ofMillis(100));
@@ -31,14 +31,17 @@
     fixture.advance(Duration.ofMillis(500));
     fixture.reportLoad(fixture.machines.get(0), 4, 8);
     assertThat(fixture.gossip.size()).isEqualTo(2);
-    SchedulerFixture many = SchedulerFixture.gossiping(270);
-    many.reportLoad(many.machines.get(0), 4, 8);
-    assertThat(many.gossip).isEmpty();
+    SchedulerFixture manySchedulers = SchedulerFixture.gossiping(270);
+    manySchedulers.reportLoad(manySchedulers.machines.get(0), 4, 8);
+    assertThat(manySchedulers.gossip).isEmpty();
   }
 
-  /** A report of another scheduler counts like our own, on machines that our list names only. */
+  /**
+   * Reports gossiped by other schedulers are used; those about machines that are not in the list,
+   * and malformed ones, are ignored.
+   */
   @Example
-  void gossipedReportCountsLikeOurOwn() {
+  void gossipedReportIsUsedLikeAReceivedOne() {
     SchedulerFixture fixture = SchedulerFixture.gossiping(2);
     fixture.machines.forEach(m -> m.freeCores = 0);
     fixture.scheduler.gossipReceived(
@@ -57,7 +60,7 @@
   }
 
   @Example
-  void machineGossipedAsUnreachableIsEjectedForAWhile() {
+  void machineGossipedAsUnreachableIsEjectedTemporarily() {
     SchedulerFixture fixture = SchedulerFixture.gossiping(2);
     fixture.scheduler.gossipReceived(GossipCodec.machineName(100));
     fixture.scheduler.gossipReceived(GossipCodec.machineName(101));
@@ -67,9 +70,12 @@
     assertThat(vm.attempts.size()).isEqualTo(1);
   }
 
-  /** The third of the classes by name is "retryable"; without tenants they are numbered by name. */
+  /**
+   * Without tenants, tenant classes are numbered by the name of the class; "retryable" is the
+   * third.
+   */
   @Example
-  void gossipedRejectionBacksOffHere() {
+  void gossipedRejectionStartsABackoff() {
     SchedulerFixture fixture = SchedulerFixture.gossiping(2);
     fixture.scheduler.gossipReceived(GossipCodec.machineName(100) + GossipCodec.digit(2));
     fixture.scheduler.gossipReceived(GossipCodec.machineName(101) + GossipCodec.digit(2));
@@ -82,14 +88,15 @@
   }
 
   /**
-   * Were all schedulers to probe from the first of the list on, the same few machines would report.
+   * Guards against all schedulers probing the first machines of the list, so that only these
+   * report.
    */
   @Example
   void schedulersProbeFromDifferentMachines() {
     Set<String> first = new HashSet<>();
     for (int seed = 0; seed < 20; seed++) {
       SchedulerFixture fixture = new SchedulerFixture(true, "cell");
-      fixture.begin(seed, 20);
+      fixture.start(seed, 20);
       fixture.request("retryable", 0.5, 0.5, 1);
       fixture.advance(Duration.ofMillis(300));
       fixture.request("retryable", 0.5, 0.5, 1);
@@ -101,7 +108,10 @@
     assertThat(first.size()).isGreaterThan(4);
   }
 
-  /** A report without cores or memory would be gossiped as an empty machine, an old one as new. */
+  /**
+   * Guards against gossiping an incomplete report, which would show an empty machine, or an old
+   * report as a new one.
+   */
   @Example
   void onlyNewAndCompleteReportsAreGossiped() {
     SchedulerFixture fixture = SchedulerFixture.gossiping(2);
@@ -113,9 +123,12 @@
     assertThat(fixture.gossip.size()).isEqualTo(1);
   }
 
-  /** Gossip of a rejection must not keep the machine's next report from being gossiped. */
+  /**
+   * Guards against gossip of a rejection counting as a gossiped report, which would suppress the
+   * machine's next report.
+   */
   @Example
-  void gossipOfARejectionKeepsNoReportBack() {
+  void gossipOfARejectionDoesNotSuppressTheNextReport() {
     SchedulerFixture fixture = SchedulerFixture.gossiping(2);
     Vm vm = fixture.request("retryable", 1, 1, 1);
     Machine m = vm.attempts.get(0).machine;
@@ -124,23 +137,25 @@
     assertThat(fixture.gossip.size()).isEqualTo(2);
   }
 
-  /** Three machines with one short name: none of them may be taken for another. */
+  /**
+   * Guards against confusing machines: the short name is a hash, and three machines share one here.
+   */
   @Example
   void gossipOnMachinesThatShareAShortNameIsIgnored() {
     SchedulerFixture fixture = SchedulerFixture.gossiping(2);
     Map<String, List<Long>> ids = new HashMap<>();
-    List<Long> alike = null;
-    for (long id = 1000; alike == null; id++) {
+    List<Long> idsOfOneName = null;
+    for (long id = 1000; idsOfOneName == null; id++) {
       List<Long> same = ids.computeIfAbsent(GossipCodec.machineName(id), n -> new ArrayList<>());
       same.add(id);
-      alike = same.size() == 3 ? same : null;
+      idsOfOneName = same.size() == 3 ? same : null;
     }
     fixture.scheduler.machineListStarted(false, false);
-    List<Machine> three = alike.stream().map(Machine::new).toList();
-    three.forEach(m -> fixture.scheduler.machineListed(m, Lifecycle.LIVE, null));
+    List<Machine> machinesOfOneName = idsOfOneName.stream().map(Machine::new).toList();
+    machinesOfOneName.forEach(m -> fixture.scheduler.machineListed(m, Lifecycle.LIVE, null));
     fixture.scheduler.machineListCompleted();
     fixture.scheduler.gossipReceived(
-        GossipCodec.machineName(alike.get(0)) + GossipCodec.share(1) + GossipCodec.share(1));
-    assertThat(three).allMatch(m -> m.reportedAt == null);
+        GossipCodec.machineName(idsOfOneName.get(0)) + GossipCodec.share(1) + GossipCodec.share(1));
+    assertThat(machinesOfOneName).allMatch(m -> m.reportedAt == null);
   }
 }
--- a/src/test/java/fordridge/scheduling/MachineListTest.java
+++ b/src/test/java/fordridge/scheduling/MachineListTest.java
@@ -10,7 +10,7 @@
   @Example
   void machineListIsWatchedAgainAfterAFailure() {
     SchedulerFixture fixture = new SchedulerFixture(false, "all");
-    fixture.begin(1, 2);
+    fixture.start(1, 2);
     assertThat(fixture.isWatching).isTrue();
     fixture.isWatching = false;
     fixture.scheduler.machineListFailed();
@@ -20,12 +20,13 @@
   }
 
   /**
-   * Four intervals are allowed after a failure: a list out of reach for 25 s must not stop placing.
+   * Placing must go on while the list cannot be received for 25 s; four poll intervals of 10 s are
+   * allowed after a failure.
    */
   @Example
-  void unreachableListIsTrustedForFourIntervals() {
+  void lastListIsUsedForFourIntervalsAfterAFailure() {
     SchedulerFixture fixture = new SchedulerFixture(false, "all");
-    fixture.begin(1, 2);
+    fixture.start(1, 2);
     fixture.scheduler.machineListFailed();
     fixture.advance(Duration.ofSeconds(30));
     assertThat(fixture.request("retryable", 1, 1, 1).attempts.size()).isEqualTo(1);
--- a/src/test/java/fordridge/scheduling/MachineSelectorTest.java
+++ b/src/test/java/fordridge/scheduling/MachineSelectorTest.java
@@ -14,11 +14,11 @@
 /** Preferences among machines with capacity. */
 class MachineSelectorTest {
   /**
-   * The kind that some class requires is spared by others, but not until the other machines are
-   * fuller.
+   * Classes that do not require a kind leave its machines to those that do, unless the other
+   * machines are fuller.
    */
   @Example
-  void requiredKindsAreSparedWhileTheOthersAreNoFuller() {
+  void requiredKindsAreAvoidedUnlessOtherMachinesAreFuller() {
     SchedulerFixture fixture = SchedulerFixture.started(2);
     fixture.reportLoad(fixture.machines.get(0), 12, 24);
     fixture.reportLoad(fixture.machines.get(1), 12, 24);
@@ -26,39 +26,43 @@
         .isSameAs(fixture.machines.get(0));
     fixture.reportLoad(fixture.machines.get(0), 3, 24);
     fixture.reportLoad(fixture.machines.get(1), 24, 48);
-    Set<Machine> taken = new HashSet<>();
+    Set<Machine> chosen = new HashSet<>();
     for (int service = 2; service < 10; service++) {
-      taken.add(fixture.request("retryable", 0.5, 0.5, service).attempts.get(0).machine);
+      chosen.add(fixture.request("retryable", 0.5, 0.5, service).attempts.get(0).machine);
     }
-    assertThat(taken).contains(fixture.machines.get(1));
+    assertThat(chosen).contains(fixture.machines.get(1));
   }
 
   /**
-   * With many schedulers, machines that came up together must not all be one scheduler's turn at
-   * once.
+   * Guards against a scheduler's turn coming at the same time at all machines that started
+   * together.
    */
   @Example
   void turnsInSlowStartDifferBetweenMachines() {
     SchedulerFixture fixture = new SchedulerFixture(true, "cell");
     fixture.values.put("nInstances", 20L);
-    fixture.begin(1, 40);
+    fixture.start(1, 40);
     fixture.machines.forEach(m -> fixture.listMachine(m, Lifecycle.LIVE, fixture.now));
     for (int i = 0; i < 90; i++) {
       fixture.request("retryable", 0.5, 0.5, i);
       fixture.advance(Duration.ofMillis(100));
     }
-    long seconds = fixture.attempts.stream().map(c -> c.sentAt.toSeconds()).distinct().count();
+    long seconds =
+        fixture.attempts.stream().map(attempt -> attempt.sentAt.toSeconds()).distinct().count();
     assertThat(seconds).isGreaterThan(4);
   }
 
-  /** Many schedulers see few VMs of a service each: they meet by a hash, whatever their seeds. */
+  /**
+   * Each of many schedulers sees few VMs of a service; a hash leads all of them to the same
+   * machines, whatever their seeds.
+   */
   @Example
   void serviceGoesToTheSameMachinesFromEveryScheduler() {
     SchedulerFixture a = new SchedulerFixture(true, "cell");
-    a.begin(1, 40);
+    a.start(1, 40);
     SchedulerFixture b = new SchedulerFixture(true, "cell");
     b.values.put("position", 0L);
-    b.begin(99, 40);
+    b.start(99, 40);
     Set<Long> used = new HashSet<>();
     for (int service = 0; service < 30; service++) {
       long id = a.request("retryable", 0.5, 0.5, service).attempts.get(0).machine.id;
@@ -70,22 +74,22 @@
   }
 
   /**
-   * A preferred machine without regular capacity comes before another that has it: a cold start is
-   * late.
+   * A preferred machine without regular capacity comes before other machines that have it, as a
+   * cold start elsewhere would be late.
    */
   @Example
   void preferredMachinesComeBeforeRegularCapacityElsewhere() {
     SchedulerFixture fixture = SchedulerFixture.started(9);
-    Machine home = fixture.request("retryable", 0.5, 0.5, 1).attempts.get(0).machine;
+    Machine warmMachine = fixture.request("retryable", 0.5, 0.5, 1).attempts.get(0).machine;
     fixture.accept(fixture.attempts.get(0));
     fixture.end(fixture.attempts.get(0), Outcome.DONE, OutcomeReason.UNSPECIFIED);
     fixture.advance(Duration.ofSeconds(9));
-    home.freeCores = 0;
-    fixture.reportLoad(home, home.cores / 2, home.memory / 2);
-    Set<Machine> taken = new HashSet<>();
+    warmMachine.freeCores = 0;
+    fixture.reportLoad(warmMachine, warmMachine.cores / 2, warmMachine.memory / 2);
+    Set<Machine> chosen = new HashSet<>();
     for (int i = 0; i < 6; i++) {
-      taken.add(fixture.request("retryable", 0.5, 0.5, 1).attempts.get(0).machine);
+      chosen.add(fixture.request("retryable", 0.5, 0.5, 1).attempts.get(0).machine);
     }
-    assertThat(taken.size()).isLessThanOrEqualTo(3);
+    assertThat(chosen.size()).isLessThanOrEqualTo(3);
   }
 }
--- a/src/test/java/fordridge/scheduling/OutlierDetectorTest.java
+++ b/src/test/java/fordridge/scheduling/OutlierDetectorTest.java
@@ -13,7 +13,10 @@
 
 /** Fault scores, ejection and rejection backoff. */
 class OutlierDetectorTest {
-  /** A machine that is full without a reason rejects one tenant's VMs; others still go there. */
+  /**
+   * After a rejection without a reason VMs of that tenant avoid the machine, at first for 6 s; VMs
+   * of other tenants are still placed there.
+   */
   @Example
   void rejectionWithoutReasonBacksOffForThatTenantOnly() {
     SchedulerFixture fixture = SchedulerFixture.started(1);
@@ -28,42 +31,52 @@
     assertThat(fixture.request("retryable", 0.5, 0.5, 1).attempts.size()).isEqualTo(1);
   }
 
-  /** Machines that reject stay empty; by capacity alone they would draw every attempt. */
+  /**
+   * Guards against machines that reject VMs, and so stay empty, getting every attempt because of
+   * their free capacity.
+   */
   @Example
-  void whileRejectedWithoutReasonVmsGoWhereOneWasAccepted() {
+  void vmsRejectedWithoutReasonGoToAMachineThatAcceptedOne() {
     SchedulerFixture fixture = SchedulerFixture.started(9);
     fixture.request("retryable", 0.5, 0.5, 1);
-    Machine good = fixture.attempts.get(0).machine;
+    Machine acceptingMachine = fixture.attempts.get(0).machine;
     fixture.accept(fixture.attempts.get(0));
-    good.freeCores = 0;
-    fixture.reportLoad(good, 8, 16);
+    acceptingMachine.freeCores = 0;
+    fixture.reportLoad(acceptingMachine, 8, 16);
     fixture.advance(Duration.ofSeconds(1));
     fixture.end(
         fixture.request("retryable", 0.5, 0.5, 2).attempts.get(0),
         Outcome.FULL,
         OutcomeReason.UNSPECIFIED);
-    assertThat(fixture.vms.get(1).attempts.get(1).machine).isSameAs(good);
-    assertThat(fixture.request("retryable", 0.5, 0.5, 3).attempts.get(0).machine).isSameAs(good);
+    assertThat(fixture.vms.get(1).attempts.get(1).machine).isSameAs(acceptingMachine);
+    assertThat(fixture.request("retryable", 0.5, 0.5, 3).attempts.get(0).machine)
+        .isSameAs(acceptingMachine);
   }
 
-  /** Most of a fleet failing at once must not use up the attempts of every VM. */
+  /** Guards against an outage of most of the fleet using up the attempts of every VM. */
   @Example
   void massOutageUsesUpFewAttempts() {
     SchedulerFixture fixture = SchedulerFixture.started(8);
     for (int i = 0; i < 40; i++) {
       fixture.request("retryable", 0.5, 1, i);
-      for (PlacementAttempt c : List.copyOf(fixture.attempts)) {
-        if (c.isInFlight() && c.machine != fixture.machines.get(7)) {
-          fixture.end(c, Outcome.UNREACHABLE, OutcomeReason.UNSPECIFIED);
+      for (PlacementAttempt attempt : List.copyOf(fixture.attempts)) {
+        if (attempt.isInFlight() && attempt.machine != fixture.machines.get(7)) {
+          fixture.end(attempt, Outcome.UNREACHABLE, OutcomeReason.UNSPECIFIED);
         }
       }
       fixture.advance(Duration.ofMillis(20));
     }
-    long dead = fixture.attempts.stream().filter(c -> c.outcome == Outcome.UNREACHABLE).count();
-    assertThat(dead < 40).as(dead + " attempts used up").isTrue();
+    long unreachableAttempts =
+        fixture.attempts.stream().filter(attempt -> attempt.outcome == Outcome.UNREACHABLE).count();
+    assertThat(unreachableAttempts < 40)
+        .as(unreachableAttempts + " attempts at unreachable machines")
+        .isTrue();
   }
 
-  /** VMs lost without a reason show that their machine is down, before any attempt there. */
+  /**
+   * A running VM that is lost without a reason ejects its machine before another attempt fails
+   * there.
+   */
   @Example
   void lostVmEjectsItsMachine() {
     SchedulerFixture fixture = SchedulerFixture.started(2);
@@ -74,32 +87,38 @@
     assertThat(next.attempts.get(0).machine).isNotSameAs(vm.attempts.get(0).machine);
   }
 
-  /** A machine that does not respond gets single attempts while others respond. */
+  /** A machine that does not respond gets only single attempts while the others respond. */
   @Example
-  void silentMachineGetsFewAttempts() {
+  void unresponsiveMachineGetsFewAttempts() {
     SchedulerFixture fixture = SchedulerFixture.started(6);
-    Machine silent = fixture.machines.get(2);
+    Machine unresponsiveMachine = fixture.machines.get(2);
     for (int i = 0; i < 300; i++) {
       fixture.request("retryable", 0.5, 0.5, i);
-      for (PlacementAttempt c : List.copyOf(fixture.attempts)) {
-        if (c.isInFlight() && c.machine != silent) {
-          if (c.acceptedAt == null) {
-            fixture.accept(c);
+      for (PlacementAttempt attempt : List.copyOf(fixture.attempts)) {
+        if (attempt.isInFlight() && attempt.machine != unresponsiveMachine) {
+          if (attempt.acceptedAt == null) {
+            fixture.accept(attempt);
           }
-          fixture.end(c, Outcome.DONE, OutcomeReason.UNSPECIFIED);
+          fixture.end(attempt, Outcome.DONE, OutcomeReason.UNSPECIFIED);
         }
       }
       fixture.advance(Duration.ofMillis(20));
     }
-    long late =
+    long lateAttempts =
         fixture.attempts.stream()
-            .filter(c -> c.machine == silent && c.sentAt.compareTo(Duration.ofSeconds(7)) > 0)
+            .filter(
+                attempt ->
+                    attempt.machine == unresponsiveMachine
+                        && attempt.sentAt.compareTo(Duration.ofSeconds(7)) > 0)
             .count();
-    assertThat(late <= 5).as(late + " attempts at the silent machine").isTrue();
+    assertThat(lateAttempts <= 5)
+        .as(lateAttempts + " attempts at the unresponsive machine")
+        .isTrue();
   }
 
   /**
-   * An error before acceptance backs off for that tenant class; others are placed there as usual.
+   * After an error before acceptance, VMs of that tenant class avoid the machine; others are still
+   * placed there.
    */
   @Example
   void errorBeforeAcceptanceBacksOffForThatTenantClassOnly() {
--- a/src/test/java/fordridge/scheduling/PendingVmTest.java
+++ b/src/test/java/fordridge/scheduling/PendingVmTest.java
@@ -25,7 +25,10 @@
     assertThat(fixture.rejectedCount).isEqualTo(1);
   }
 
-  /** VMs come and go between two changes of the list, more than the machine could hold at once. */
+  /**
+   * Guards against reservations that are kept until the next list: between two lists, more VMs run
+   * and end than fit on the machine at once.
+   */
   @Example
   void vmsThatAreOverGiveTheirCapacityBackThoughTheListHasNoNews() {
     SchedulerFixture fixture = SchedulerFixture.started(1);
@@ -50,7 +53,8 @@
   }
 
   /**
-   * In the order of arrival, an overload makes every start late; late VMs wait behind the others.
+   * Guards against placing in order of arrival, which would make every start late in overload: late
+   * VMs wait behind the others.
    */
   @Example
   void lateVmWaitsBehindOthersOfItsRank() {
@@ -72,13 +76,16 @@
     assertThat(late.attempts.size()).isEqualTo(1);
   }
 
-  /** Where clients may not be told when to request again, a rejection comes no later for that. */
+  /**
+   * If retry-after is not allowed, a rejection comes at the same time, without advice when to
+   * request again.
+   */
   @Example
   void rejectionHasRetryAfterOnlyWhereAllowed() {
     SchedulerFixture with = SchedulerFixture.started(1);
     SchedulerFixture without = new SchedulerFixture(true, "cell");
     without.values.put("caps.retryAfter", false);
-    without.begin(1, 1);
+    without.start(1, 1);
     for (SchedulerFixture fixture : List.of(with, without)) {
       fixture.request("retryable", 99, 99, 1);
       fixture.advance(Duration.ofMillis(4900));
--- a/src/test/java/fordridge/scheduling/RetryPolicyTest.java
+++ b/src/test/java/fordridge/scheduling/RetryPolicyTest.java
@@ -8,17 +8,17 @@
 import java.time.Duration;
 import net.jqwik.api.Example;
 
-/** Attempts after the first, and their limits. */
+/** Attempts after the first one and their limits. */
 class RetryPolicyTest {
-  /** Settings can change under way and hold at once. */
+  /** Changed settings apply to the next decision. */
   @Example
-  void changedSettingsHoldFromThenOn() {
+  void changedSettingsApplyAtOnce() {
     SchedulerFixture fixture = SchedulerFixture.started(3);
-    fixture.change("caps.mostTries", 1L);
+    fixture.changeSetting("caps.mostTries", 1L);
     Vm first = fixture.request("retryable", 1, 1, 1);
     fixture.end(first.attempts.get(0), Outcome.FULL, OutcomeReason.INSUFFICIENT_CORES);
     assertThat(fixture.rejectedCount).isEqualTo(1);
-    fixture.change("caps.mostTries", 3L);
+    fixture.changeSetting("caps.mostTries", 3L);
     Vm second = fixture.request("retryable", 1, 1, 1);
     fixture.end(second.attempts.get(0), Outcome.FULL, OutcomeReason.INSUFFICIENT_CORES);
     assertThat(second.attempts.size()).isEqualTo(2);
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Attempts within milliseconds are decided by one outdated list; the last one waits for a new
-   * one.
+   * Guards against deciding all attempts, within milliseconds, by the same outdated list: the last
+   * one waits for a new list.
    */
   @Example
   void lastAttemptWaitsAfterARejection() {
--- a/src/test/java/fordridge/scheduling/SchedulerFixture.java
+++ b/src/test/java/fordridge/scheduling/SchedulerFixture.java
@@ -19,11 +19,11 @@
 import java.util.Set;
 
 /**
- * A scheduler with its actions recorded and checked against the five rules (docs/design.md), and
- * seeded sequences of odd but legal inputs for it.
+ * A scheduler whose actions are recorded and checked against the five invariants (docs/design.md),
+ * and a generator of random legal inputs for it.
  */
 final class SchedulerFixture implements SchedulerActions {
-  static final Duration GRACE = Duration.ofMillis(500);
+  static final Duration DRAIN_GRACE = Duration.ofMillis(500);
   private static final List<Lifecycle> LIFECYCLES =
       List.of(Lifecycle.LIVE, Lifecycle.DRAINING, Lifecycle.GONE);
   private static final Outcome[] AFTER_ACCEPTANCE = {
@@ -47,10 +47,10 @@
   final Map<Machine, List<Duration>> slowStartAttempts = new HashMap<>();
   Scheduler scheduler = new Scheduler(this);
   Duration now = Duration.ofSeconds(5);
-  Duration wakeAt;
+  Duration timerAt;
   boolean isWatching;
 
-  /** Whether the scheduler may decide. */
+  /** What the scheduler is told about unread input, see {@link SchedulerActions#isInputRead}. */
   boolean isInputRead = true;
 
   String tenant = "";
@@ -103,12 +103,12 @@
     values.put("obligations.coldFrom", 0.2);
   }
 
-  void begin(long seed, int count) {
+  void start(long seed, int count) {
     scheduler.advanceTo(now);
     scheduler.start(seed, settings());
     scheduler.machineListStarted(true, true);
     for (int i = 0; i < count; i++) {
-      scheduler.machineListed(machine(i), Lifecycle.LIVE, null);
+      scheduler.machineListed(createMachine(i), Lifecycle.LIVE, null);
     }
     scheduler.machineListCompleted();
   }
@@ -117,30 +117,35 @@
     return SchedulerSettingsReader.read(new SettingsValues(values));
   }
 
-  /** Tells the scheduler that a setting changed. */
-  void change(String name, Object value) {
+  /** Changes a setting and applies it to the scheduler. */
+  void changeSetting(String name, Object value) {
     values.put(name, value);
     scheduler.settingsChanged(settings());
   }
 
-  /** A fixture of two schedulers whose scheduler started with so many machines. */
+  /**
+   * A fixture with a started scheduler, one of two in the cluster, and the given number of
+   * machines.
+   */
   static SchedulerFixture started(int machines) {
     SchedulerFixture fixture = new SchedulerFixture(true, "cell");
-    fixture.begin(1, machines);
+    fixture.start(1, machines);
     return fixture;
   }
 
-  /** A fixture of so many schedulers that may gossip, with two machines. */
+  /**
+   * A fixture with a started scheduler, one of the given number that may gossip, and two machines.
+   */
   static SchedulerFixture gossiping(long schedulers) {
     SchedulerFixture fixture = new SchedulerFixture(true, "cell");
     fixture.values.put("nInstances", schedulers);
     fixture.values.put("caps.peerMessages", true);
     fixture.values.put("prices.peer", 0.01);
-    fixture.begin(1, 2);
+    fixture.start(1, 2);
     return fixture;
   }
 
-  /** A probe brings a load report. */
+  /** Completes a probe of the machine with a load report. */
   void reportLoad(Machine machine, double spareCores, double spareMemory) {
     machine.spareCores = spareCores;
     machine.spareMemory = spareMemory;
@@ -148,22 +153,24 @@
     scheduler.probeCompleted(machine, true, true);
   }
 
-  private Machine machine(int i) {
-    Machine m = new Machine(100 + i);
-    m.kind = i % 2 == 0 ? "small" : "big";
-    m.zone = "z" + i % 3;
-    m.cell = i % 2;
-    m.freeCores = i % 2 == 0 ? 16 : 32;
-    m.freeMemory = i % 2 == 0 ? 32 : 64;
-    machines.add(m);
-    return m;
+  private Machine createMachine(int index) {
+    Machine machine = new Machine(100 + index);
+    machine.kind = index % 2 == 0 ? "small" : "big";
+    machine.zone = "z" + index % 3;
+    machine.cell = index % 2;
+    machine.freeCores = index % 2 == 0 ? 16 : 32;
+    machine.freeMemory = index % 2 == 0 ? 32 : 64;
+    machines.add(machine);
+    return machine;
   }
 
-  /** One change of the list: the fleet doubles with machines in slow start, or most of it goes. */
-  private void resize(boolean grow) {
+  /**
+   * Lists up to 12 new machines, which are in slow start, or lists up to 12 existing ones as gone.
+   */
+  private void changeFleet(boolean grow) {
     scheduler.machineListStarted(false, false);
     for (int i = 0, n = Math.min(machines.size(), 12); i < n; i++) {
-      Machine m = grow ? machine(machines.size()) : machines.get(i);
+      Machine m = grow ? createMachine(machines.size()) : machines.get(i);
       goneSince.remove(m);
       if (grow) {
         slowStartAttempts.put(m, new ArrayList<>());
@@ -175,16 +182,16 @@
     scheduler.machineListCompleted();
   }
 
-  void listMachine(Machine m, Lifecycle lifecycle, Duration startedAt) {
-    goneSince.remove(m);
+  void listMachine(Machine machine, Lifecycle lifecycle, Duration startedAt) {
+    goneSince.remove(machine);
     if (lifecycle != Lifecycle.LIVE) {
-      goneSince.put(m, now);
+      goneSince.put(machine, now);
     }
     if (startedAt != null) {
-      slowStartAttempts.put(m, new ArrayList<>());
+      slowStartAttempts.put(machine, new ArrayList<>());
     }
     scheduler.machineListStarted(false, false);
-    scheduler.machineListed(m, lifecycle, startedAt);
+    scheduler.machineListed(machine, lifecycle, startedAt);
     scheduler.machineListCompleted();
   }
 
@@ -202,21 +209,21 @@
     return vm;
   }
 
-  /** Lets time pass in ticks, with timers and timeouts of attempts. */
+  /** Advances the time in ticks of 10 ms and lets timers fire and attempts time out. */
   void advance(Duration span) {
     Duration end = now.plus(span);
     while (now.compareTo(end) < 0) {
       now = now.plusMillis(10);
       scheduler.advanceTo(now);
-      for (PlacementAttempt c : List.copyOf(attempts)) {
-        if (c.isInFlight()
-            && c.acceptedAt == null
-            && now.compareTo(c.sentAt.plus(c.timeout)) >= 0) {
-          end(c, Outcome.TIMEOUT, OutcomeReason.UNSPECIFIED);
+      for (PlacementAttempt attempt : List.copyOf(attempts)) {
+        if (attempt.isInFlight()
+            && attempt.acceptedAt == null
+            && now.compareTo(attempt.sentAt.plus(attempt.timeout)) >= 0) {
+          end(attempt, Outcome.TIMEOUT, OutcomeReason.UNSPECIFIED);
         }
       }
-      if (wakeAt != null && now.compareTo(wakeAt) >= 0) {
-        wakeAt = null;
+      if (timerAt != null && now.compareTo(timerAt) >= 0) {
+        timerAt = null;
         scheduler.timerFired();
       }
       for (Vm vm : vms) {
@@ -224,27 +231,29 @@
             vm.acceptedAttempt != null
                 || vm.isFinished
                 || now.compareTo(vm.deadline.plusMillis(10)) < 0,
-            "rule 1: " + vm.id + " has no response in time");
+            "invariant 1: " + vm.id + " has no final response at its deadline");
       }
     }
   }
 
-  void accept(PlacementAttempt c) {
-    finished.add(c.vm);
-    scheduler.attemptAccepted(c);
+  void accept(PlacementAttempt attempt) {
+    finished.add(attempt.vm);
+    scheduler.attemptAccepted(attempt);
   }
 
-  void end(PlacementAttempt c, Outcome how, OutcomeReason why) {
-    boolean wasBound = c.acceptedAt != null;
-    scheduler.attemptEnded(c, how, why, wasBound || c.vm.isFinished);
+  void end(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
+    boolean wasAccepted = attempt.acceptedAt != null;
+    scheduler.attemptEnded(attempt, outcome, reason, wasAccepted || attempt.vm.isFinished);
   }
 
-  /** One odd but legal input. */
+  /** Passes one random legal input to the scheduler. */
   void randomInput(Random random) {
     scheduler.advanceTo(now);
     Machine machine = machines.get(random.nextInt(machines.size()));
-    List<PlacementAttempt> open = attempts.stream().filter(PlacementAttempt::isInFlight).toList();
-    PlacementAttempt attempt = open.isEmpty() ? null : open.get(random.nextInt(open.size()));
+    List<PlacementAttempt> inFlight =
+        attempts.stream().filter(PlacementAttempt::isInFlight).toList();
+    PlacementAttempt attempt =
+        inFlight.isEmpty() ? null : inFlight.get(random.nextInt(inFlight.size()));
     String[] classes = {"retryable", "dedup", "fragile"};
     switch (random.nextInt(50) == 0 ? 13 : random.nextInt(13)) {
       case 0, 1, 2, 3 ->
@@ -253,24 +262,24 @@
               0.5 + random.nextInt(6),
               1 + random.nextInt(9),
               random.nextInt(5));
-      case 4, 5 -> acceptIfWaiting(attempt);
-      case 6, 7 -> endAnyhow(attempt, random);
+      case 4, 5 -> acceptIfUnanswered(attempt);
+      case 6, 7 -> endRandomly(attempt, random);
       case 8 -> listMachine(machine, LIFECYCLES.get(random.nextInt(3)), null);
       case 9 -> listMachine(machine, Lifecycle.LIVE, now.minusMillis(random.nextInt(2000)));
-      case 10 -> probeAnyhow(machine, random);
-      case 11 -> gossipAnyhow(machine, random);
-      case 13 -> resize(machines.size() < 60 && random.nextBoolean());
-      default -> failListOrLeave(random);
+      case 10 -> probeRandomly(machine, random);
+      case 11 -> gossipRandomly(machine, random);
+      case 13 -> changeFleet(machines.size() < 60 && random.nextBoolean());
+      default -> failListOrAbandonVm(random);
     }
   }
 
-  private void acceptIfWaiting(PlacementAttempt attempt) {
+  private void acceptIfUnanswered(PlacementAttempt attempt) {
     if (attempt != null && attempt.acceptedAt == null && !attempt.vm.isFinished) {
       accept(attempt);
     }
   }
 
-  private void endAnyhow(PlacementAttempt attempt, Random random) {
+  private void endRandomly(PlacementAttempt attempt, Random random) {
     if (attempt == null) {
       return;
     }
@@ -280,14 +289,14 @@
     end(attempt, outcome, reasons[random.nextInt(reasons.length)]);
   }
 
-  private void probeAnyhow(Machine machine, Random random) {
+  private void probeRandomly(Machine machine, Random random) {
     machine.spareCores = random.nextDouble() * machine.cores;
     machine.spareMemory = random.nextDouble() * machine.memory;
     machine.reportedAt = now;
     scheduler.probeCompleted(machine, random.nextBoolean(), true);
   }
 
-  private void gossipAnyhow(Machine machine, Random random) {
+  private void gossipRandomly(Machine machine, Random random) {
     char[] figures = new char[random.nextInt(4)];
     for (int i = 0; i < figures.length; i++) {
       figures[i] = GossipCodec.digit(random.nextInt(94));
@@ -296,7 +305,7 @@
     scheduler.gossipReceived(GossipCodec.machineName(id) + new String(figures));
   }
 
-  private void failListOrLeave(Random random) {
+  private void failListOrAbandonVm(Random random) {
     if (random.nextInt(4) == 0) {
       scheduler.machineListFailed();
     } else if (!vms.isEmpty()) {
@@ -308,19 +317,19 @@
     }
   }
 
-  static void check(boolean kept, String what) {
-    if (!kept) {
-      throw new AssertionError(what);
+  static void check(boolean isTrue, String violation) {
+    if (!isTrue) {
+      throw new AssertionError(violation);
     }
   }
 
-  private static boolean hasNeverRun(PlacementAttempt c) {
-    return c.outcome == Outcome.FULL
-        || c.outcome == Outcome.UNREACHABLE
-        || c.outcome == Outcome.NOT_SENT;
+  private static boolean hasNeverRun(PlacementAttempt attempt) {
+    return attempt.outcome == Outcome.FULL
+        || attempt.outcome == Outcome.UNREACHABLE
+        || attempt.outcome == Outcome.NOT_SENT;
   }
 
-  private boolean sameGroup(Machine a, Machine b) {
+  private boolean isInSameScope(Machine a, Machine b) {
     return switch ((String) values.get("lanes.1.dedupScope")) {
       case "all" -> true;
       case "zone" -> a.zone.equals(b.zone);
@@ -337,11 +346,13 @@
   public void sendAttempt(PlacementAttempt attempt, Duration timeout) {
     Machine machine = attempt.machine;
     actions.add(now + " attempt " + attempt.vm.id + " " + machine.id);
-    check(!finished.contains(attempt.vm), "rule 1: an attempt after the response for a VM");
+    check(
+        !finished.contains(attempt.vm),
+        "invariant 1: an attempt after the final response for a VM");
     Duration gone = goneSince.get(machine);
     check(
-        gone == null || now.compareTo(gone.plus(GRACE)) <= 0,
-        "rule 3: sent to a machine that is gone");
+        gone == null || now.compareTo(gone.plus(DRAIN_GRACE)) <= 0,
+        "invariant 3: sent to a machine that is gone");
     checkEarlierAttempts(attempt);
     checkSpread(attempt);
     checkSlowStart(machine);
@@ -352,11 +363,15 @@
     String priorityClass = attempt.vm.priorityClass;
     for (PlacementAttempt other : attempts) {
       if (other.vm == attempt.vm && other != attempt) {
-        check(!other.isInFlight(), "rule 2: two attempts in flight at once");
+        check(!other.isInFlight(), "invariant 2: two attempts in flight at once");
         if (!hasNeverRun(other) && !priorityClass.equals("retryable")) {
-          check(priorityClass.equals("dedup"), "rule 2: a non-idempotent VM sent again");
-          check(sameGroup(other.machine, attempt.machine), "rule 2: out of its scope");
-          check(now.compareTo(other.sentAt.plusSeconds(3)) < 0, "rule 2: out of its window");
+          check(priorityClass.equals("dedup"), "invariant 2: a non-idempotent VM is offered again");
+          check(
+              isInSameScope(other.machine, attempt.machine),
+              "invariant 2: offered again outside the idempotency scope");
+          check(
+              now.compareTo(other.sentAt.plusSeconds(3)) < 0,
+              "invariant 2: offered again after the deduplication window");
         }
       }
     }
@@ -379,7 +394,9 @@
           case "dedup" -> 3;
           default -> Integer.MAX_VALUE;
         };
-    check(inDomain <= limit, "rule 5: more of a service in one domain than the limit");
+    check(
+        inDomain <= limit,
+        "invariant 5: more VMs of a service in one domain than the spread limit");
   }
 
   private void checkSlowStart(Machine machine) {
@@ -394,13 +411,15 @@
     long recent = sent.stream().filter(time -> time.compareTo(from) > 0).count();
     check(
         recent <= (hasManySchedulers ? 1 : 4),
-        "rule 4: more than this scheduler's part of what a machine in slow start bears");
+        "invariant 4: more than this scheduler's share of the attempts that a machine in slow start withstands");
   }
 
   private void finish(Vm vm) {
     actions.add(now + " response " + vm.id);
-    check(finished.add(vm), "rule 1: a second final response for " + vm.id);
-    check(now.compareTo(vm.deadline.plusMillis(10)) <= 0, "rule 1: a response too late");
+    check(finished.add(vm), "invariant 1: a second final response for " + vm.id);
+    check(
+        now.compareTo(vm.deadline.plusMillis(10)) <= 0,
+        "invariant 1: a final response after the deadline");
   }
 
   @Override
@@ -413,7 +432,7 @@
         !mayHaveRun
             || vm.priorityClass.equals("retryable")
             || (vm.priorityClass.equals("dedup") && values.get("lanes.1.dedupScope").equals("all")),
-        "rule 2: rejected though it may have run");
+        "invariant 2: rejected though it may have run");
   }
 
   @Override
@@ -441,13 +460,15 @@
 
   @Override
   public void gossip(String message) {
-    check(message.length() >= 3 && message.length() <= 5, "gossip of another length");
+    check(
+        message.length() >= 3 && message.length() <= 5,
+        "a gossip message without 3 to 5 characters");
     gossip.add(message);
   }
 
   @Override
   public void scheduleTimer(Duration delay) {
-    wakeAt = now.plus(delay);
+    timerAt = now.plus(delay);
   }
 
   @Override
--- a/src/test/java/fordridge/scheduling/SchedulerPropertyTest.java
+++ b/src/test/java/fordridge/scheduling/SchedulerPropertyTest.java
@@ -10,14 +10,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Properties of the scheduler under odd but legal sequences of inputs. */
+/** Properties of the scheduler under random sequences of legal inputs. */
 class SchedulerPropertyTest {
-  private static SchedulerFixture play(
+  private static SchedulerFixture runRandomInputs(
       long seed, int machines, boolean isPushed, String scope, long schedulers) {
     SchedulerFixture fixture = new SchedulerFixture(isPushed, scope);
     fixture.values.put("nInstances", schedulers);
     Random random = new Random(seed);
-    fixture.begin(seed, machines);
+    fixture.start(seed, machines);
     for (int i = 0; i < 250; i++) {
       fixture.randomInput(random);
       fixture.advance(Duration.ofMillis((schedulers > 100 ? 40L : 10L) * random.nextInt(12)));
@@ -27,27 +27,29 @@
   }
 
   @Property(tries = 150, seed = "4711")
-  void anyLegalInputsKeepTheFiveRules(
+  void legalInputsKeepTheInvariants(
       @ForAll long seed,
       @ForAll @IntRange(min = 1, max = 9) int machines,
       @ForAll boolean isPushed,
       @ForAll @IntRange(max = 2) int scope,
       @ForAll boolean manySchedulers) {
     SchedulerFixture fixture =
-        play(
+        runRandomInputs(
             seed,
             machines,
             isPushed,
             List.of("all", "zone", "cell").get(scope),
             manySchedulers ? 300 : 2);
     for (Vm vm : fixture.vms) {
-      assertThat(fixture.finished.contains(vm) || vm.isFinished).as(vm.id + " was lost").isTrue();
+      assertThat(fixture.finished.contains(vm) || vm.isFinished)
+          .as(vm.id + " has no final response")
+          .isTrue();
     }
   }
 
   @Property(tries = 20, seed = "4712")
   void sameSeedAndInputsGiveTheSameActions(@ForAll long seed) {
-    assertThat(play(seed, 6, true, "cell", 2).actions)
-        .isEqualTo(play(seed, 6, true, "cell", 2).actions);
+    assertThat(runRandomInputs(seed, 6, true, "cell", 2).actions)
+        .isEqualTo(runRandomInputs(seed, 6, true, "cell", 2).actions);
   }
 }
--- a/src/test/java/fordridge/scheduling/SlowStartFleetTest.java
+++ b/src/test/java/fordridge/scheduling/SlowStartFleetTest.java
@@ -22,14 +22,16 @@
 import net.jqwik.api.Provide;
 
 /**
- * Rule 4 for the fleet: what all schedulers together send to a machine that has just come up, each
- * with a clock of its own; they learn of the start late and may be restarted in between.
+ * Invariant 4 over all schedulers: the number of attempts that they together send to a recently
+ * started machine. Each scheduler has its own clock, learns of the start late and may be restarted.
  */
 class SlowStartFleetTest {
   private static final Duration STEP = Duration.ofMillis(20);
   private static final Duration WARM_UP_TIME = Duration.ofSeconds(10);
 
-  /** A cluster of machines in slow start only, and more requests than they may be sent. */
+  /**
+   * A cluster in which all machines are in slow start, with more requests than may be sent to them.
+   */
   private static final class Fleet {
     final Random random;
     final int schedulers;
@@ -55,7 +57,7 @@
       }
     }
 
-    /** Until shortly before the first of them counts as warmed up anywhere. */
+    /** Runs until shortly before any scheduler regards the first machine as warmed up. */
     void run(boolean restarts) {
       run(WARM_UP_TIME.minusMillis(40), restarts);
     }
@@ -66,7 +68,7 @@
         clock = clock.plus(STEP);
         for (int i = 0; i < schedulers; i++) {
           if (restarts && random.nextInt(150) == 0) {
-            // Killed, and back within less than the span: it remembers nothing.
+            // The scheduler is killed and restarted within the span, without any state.
             instances[i] = new Instance(this, i, Duration.ofMillis(300 + random.nextInt(700)));
           }
           instances[i].step();
@@ -87,23 +89,23 @@
   }
 
   /**
-   * One scheduler from its start to its end: its clock runs from its start, and is off by some
-   * milliseconds against the others'.
+   * One run of a scheduler. Its clock starts with it, and its wall clock differs by some
+   * milliseconds from those of the others.
    */
   private static final class Instance implements SchedulerActions {
     final Fleet fleet;
     final Scheduler scheduler = new Scheduler(this);
     final Duration origin;
 
-    /** How far its wall clock, by which starts of machines are reported, is off. */
+    /** Error of its wall clock, which determines the reported start times of machines. */
     final Duration skew;
 
     final Duration listAt;
     final Machine[] machines = new Machine[3];
     final List<PlacementAttempt> inFlight = new ArrayList<>();
     boolean isListed;
-    Duration wakeAt;
-    int requested;
+    Duration timerAt;
+    int requestCount;
 
     Instance(Fleet fleet, int position, Duration listDelay) {
       this.fleet = fleet;
@@ -159,7 +161,7 @@
         scheduler.attemptAccepted(attempt);
         scheduler.attemptEnded(attempt, Outcome.DONE, OutcomeReason.UNSPECIFIED, true);
       }
-      Vm vm = new Vm("v" + requested++);
+      Vm vm = new Vm("v" + requestCount++);
       vm.priorityClass = "f";
       vm.cores = 1;
       vm.memory = 1;
@@ -167,8 +169,8 @@
       vm.arrivedAt = now();
       vm.deadline = now().plusSeconds(2);
       scheduler.vmRequested(vm);
-      if (wakeAt != null && now().compareTo(wakeAt) >= 0) {
-        wakeAt = null;
+      if (timerAt != null && now().compareTo(timerAt) >= 0) {
+        timerAt = null;
         scheduler.timerFired();
       }
     }
@@ -185,7 +187,7 @@
 
     @Override
     public void scheduleTimer(Duration delay) {
-      wakeAt = now().plus(delay);
+      timerAt = now().plus(delay);
     }
 
     @Override
@@ -224,7 +226,7 @@
   }
 
   @Property(tries = 100, seed = "20261202")
-  void allSchedulersTogetherKeepToWhatAMachineInSlowStartBears(
+  void allSchedulersTogetherStayWithinTheBudgetOfAMachineInSlowStart(
       @ForAll long seed,
       @ForAll("schedulers") int schedulers,
       @ForAll("budget") double budget,
@@ -240,7 +242,10 @@
     }
   }
 
-  /** Guards a quota spent twice: by a scheduler before its restart and, a moment later, after. */
+  /**
+   * Guards against a quota that is used twice: by a scheduler before its restart and again shortly
+   * after it.
+   */
   @Example
   void schedulersRestartedTogetherDoNotSpendTheirQuotaAgain() {
     for (double budget : new double[] {30, 65, 130, 400}) {
@@ -258,18 +263,18 @@
     }
   }
 
-  /** The other fault: a machine that gets too little while it warms up. */
+  /** Guards against a machine that gets too few attempts while it warms up. */
   @Property(tries = 30, seed = "20261202")
   void machinesInSlowStartGetAttempts(
       @ForAll long seed, @ForAll("schedulers") int schedulers, @ForAll("budget") double budget) {
     Fleet fleet = new Fleet(new Random(seed), schedulers, budget, Duration.ofSeconds(1));
     fleet.run(false);
-    int all = fleet.sent.stream().mapToInt(List::size).sum();
-    assertThat(all)
+    int sentInAll = fleet.sent.stream().mapToInt(List::size).sum();
+    assertThat(sentInAll)
         .as("sent to all three while they warm up, budget " + budget + ", schedulers " + schedulers)
         .isGreaterThan((int) Math.min(3 * budget * WARM_UP_TIME.toSeconds() / 8, 300 * schedulers));
     if (3 * budget < 25 * schedulers) {
-      // More is requested than all three bear: none is left inFlight.
+      // More VMs are requested than all three machines withstand, so each of them has to be used.
       assertThat(fleet.sent)
           .allSatisfy(sent -> assertThat(sent.size()).isGreaterThan((int) budget));
     }
--- a/src/test/java/fordridge/scheduling/UnreadInputTest.java
+++ b/src/test/java/fordridge/scheduling/UnreadInputTest.java
@@ -9,12 +9,14 @@
 import java.time.Duration;
 import net.jqwik.api.Example;
 
-/** Nothing is decided while input waits to be read, and all that waits is decided behind it. */
+/**
+ * No decision is made while there is unread input; the waiting decisions are made once it is read.
+ */
 class UnreadInputTest {
   private final SchedulerFixture fixture = SchedulerFixture.started(4);
 
   @Example
-  void requestWaitsForWhatIsUnread() {
+  void requestWaitsUntilInputIsRead() {
     fixture.isInputRead = false;
     Vm vm = fixture.request("retryable", 1, 1, 1);
     assertThat(vm.attempts).isEmpty();
@@ -26,12 +28,12 @@
   }
 
   @Example
-  void vmsThatAreHandedOverMeanwhileCount() {
+  void vmsAdoptedMeanwhileCountForTheSpreadLimit() {
     fixture.isInputRead = false;
     Vm vm = fixture.request("fragile", 1, 1, 1);
     for (Machine machine : fixture.machines) {
-      handOver(machine);
-      handOver(machine);
+      adoptVm(machine);
+      adoptVm(machine);
     }
 
     fixture.isInputRead = true;
@@ -40,7 +42,7 @@
     assertThat(vm.attempts).isEmpty();
   }
 
-  private void handOver(Machine machine) {
+  private void adoptVm(Machine machine) {
     Vm vm = new Vm("adopted" + machine.id + machine.hostedAttempts.size());
     vm.priorityClass = "fragile";
     vm.cores = 1;
@@ -65,18 +67,21 @@
     assertThat(vm.attempts).hasSize(1);
   }
 
-  /** It had no machine to go to but the one that it was decided for. */
+  /**
+   * Guards against excluding the machine of an attempt that was not sent: here it is the only
+   * machine.
+   */
   @Example
   void requestThatWasNotSentIsTriedAgainOnTheSameMachine() {
     SchedulerFixture single = SchedulerFixture.started(1);
     Vm vm = single.request("retryable", 1, 1, 1);
-    int maxTries = 3;
-    for (int i = 0; i < 2 * maxTries; i++) {
+    int maxAttempts = 3;
+    for (int i = 0; i < 2 * maxAttempts; i++) {
       int attempts = vm.attempts.size();
       single.end(vm.lastAttempt(), Outcome.NOT_SENT, OutcomeReason.UNSPECIFIED);
       assertThat(i > 0 || vm.attempts.size() == 1).as("not tried again at once").isTrue();
       single.advance(Duration.ofMillis(250));
-      assertThat(vm.attempts).as("no limit on what never went out").hasSizeGreaterThan(attempts);
+      assertThat(vm.attempts).as("unsent attempts are not limited").hasSizeGreaterThan(attempts);
     }
     assertThat(vm.isFinished).isFalse();
   }
--- a/src/test/java/fordridge/simulation/SimulatorAdapterTest.java
+++ b/src/test/java/fordridge/simulation/SimulatorAdapterTest.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import net.jqwik.api.Example;
 
-/** Batches of the simulator in, replies out. */
+/** Handling of batches from the simulator and the replies to them. */
 class SimulatorAdapterTest {
   private static final String CREATE =
       "{\"clockUs\":5000000,\"n\":1,\"groups\":[{\"placerId\":0,\"input\":["
@@ -50,13 +50,13 @@
 
   /** A load report that comes with an outcome is gossiped to the other schedulers. */
   @Example
-  void gossipPassesBothWays() throws Exception {
+  void gossipIsSentAndReceived() throws Exception {
     String gossiping =
         CREATE.replace(
             "\"extra\":{", "\"nInstances\":2,\"caps\":{\"peerMessages\":true},\"extra\":{");
     String ended =
         "{\"clockUs\":7000000,\"n\":3,\"groups\":[{\"placerId\":0,\"input\":[{\"msg\":\"noteFrom\",\"src\":1,"
-            + "\"data\":\"what it says nobody knows\"},{\"msg\":\"response\",\"req\":\"r1\",\"seqNo\":0,\"machine\":42,"
+            + "\"data\":\"not a gossip message\"},{\"msg\":\"response\",\"req\":\"r1\",\"seqNo\":0,\"machine\":42,"
             + "\"rc\":200,\"elapsedUs\":1,\"noMore\":true,\"healthInfo\":{\"x0\":4,\"x1\":8}}]}]}\n";
     assertThat(drill(gossiping + ARRIVAL + ended)).isEqualTo(0);
     assertThat(reply.contains("\"msg\":\"memoTo\",\"addressee\":\"*\",\"data\":\""))
@@ -67,7 +67,7 @@
   }
 
   @Example
-  void eventsOfUnknownVmsArePassedOver() throws Exception {
+  void eventsOfUnknownVmsAreIgnored() throws Exception {
     String late =
         "{\"clockUs\":6000000,\"n\":2,\"groups\":[{\"placerId\":0,\"input\":[{\"msg\":\"response\","
             + "\"req\":\"r9\",\"seqNo\":0,\"machine\":42,\"rc\":200,\"elapsedUs\":1,\"noMore\":true},"
@@ -76,7 +76,7 @@
   }
 
   @Example
-  void malformedLineEndsItWithOneErrorLine() throws Exception {
+  void malformedLineEndsTheProgramWithOneErrorLine() throws Exception {
     assertThat(drill("{\"clockUs\":5,\n")).isEqualTo(1);
     assertThat(errors.lines().count()).isEqualTo(1);
     assertThat(drill("{\"clockUs\":\"x\",\"n\":1,\"groups\":[]}\n")).isEqualTo(1);
