--- a/src/main/java/fordridge/model/SchedulerSettings.java
+++ b/src/main/java/fordridge/model/SchedulerSettings.java
@@ -130,7 +130,7 @@
    */
   public record Attempts(int maxAttempts, boolean sendsRetryAfter, AcceptanceMode acceptance) {
     /** Whether an accepted VM already runs. */
-    public boolean acceptedIsRunning() {
+    public boolean isRunningWhenAccepted() {
       return acceptance == AcceptanceMode.RUNNING;
     }
   }
--- a/src/main/java/fordridge/model/Vm.java
+++ b/src/main/java/fordridge/model/Vm.java
@@ -72,7 +72,7 @@
   }
 
   /** Number of attempts that were sent or may still be sent. */
-  public int sentAttempts() {
+  public int sentAttemptCount() {
     int count = 0;
     for (PlacementAttempt attempt : attempts) {
       if (attempt.outcome != PlacementAttempt.Outcome.NOT_SENT) {
--- a/src/main/java/fordridge/scheduling/RetryPolicy.java
+++ b/src/main/java/fordridge/scheduling/RetryPolicy.java
@@ -97,7 +97,7 @@
     PlacementAttempt last = vm.lastAttempt();
     return last != null
         && last.outcome == PlacementAttempt.Outcome.FULL
-        && vm.sentAttempts() + 1 >= state.settings.attempts().maxAttempts()
+        && vm.sentAttemptCount() + 1 >= state.settings.attempts().maxAttempts()
         && state.isWithin(state.detectionTimeouts(1.0 / 6), last.sentAt);
   }
 
@@ -124,7 +124,7 @@
    */
   Duration giveUpAt(Vm vm) {
     PriorityClass settings = state.settingsOf(vm);
-    if (state.isStopping || vm.sentAttempts() >= state.settings.attempts().maxAttempts()) {
+    if (state.isStopping || vm.sentAttemptCount() >= state.settings.attempts().maxAttempts()) {
       return Duration.ZERO;
     }
     Duration latest = vm.arrivedAt.plus(scale(vm.deadline.minus(vm.arrivedAt), 7.0 / 8));
--- a/src/main/java/fordridge/scheduling/Scheduler.java
+++ b/src/main/java/fordridge/scheduling/Scheduler.java
@@ -188,7 +188,7 @@
   public void attemptAccepted(PlacementAttempt attempt) {
     state.attemptAccepted(attempt);
     outliers.attemptAccepted(attempt);
-    if (state.settings.attempts().acceptedIsRunning()) {
+    if (state.settings.attempts().isRunningWhenAccepted()) {
       recordStart(attempt);
     }
     capacityMayHaveGrown();
@@ -341,8 +341,8 @@
    */
   private boolean isMachineListCurrent() {
     Duration interval = state.settings.discovery().pollInterval();
-    boolean needsNoPolling = !state.isListWatched() || state.isWatching;
-    return needsNoPolling || state.isWithin(interval.multipliedBy(4), state.listReceivedAt);
+    boolean receivesUpdates = !state.isListWatched() || state.isWatching;
+    return receivesUpdates || state.isWithin(interval.multipliedBy(4), state.listReceivedAt);
   }
 
   /** Sends the final response to a VM that gets no further attempt. */
@@ -428,8 +428,7 @@
     boolean isLate = vm.isClientRetry || state.isPast(lateFrom);
     int rank = 2 * settings.rank() + (isLate ? 0 : 1);
     // VMs of one shape are alike in everything that a machine is chosen by. Where an earlier
-    // attempt
-    // may have run, its machine limits the choice, so the VM has a shape of its own.
+    // attempt may have run, its machine limits the choice, so the VM has a shape of its own.
     boolean isBound = !settings.isIdempotent() && vm.firstAttemptThatMayHaveRun() != null;
     Object boundTo = isBound ? vm : retries.excludedMachine(vm);
     boolean isAnyService = settings.isSpreadUnlimited() && !actions.isConstrained(vm);
--- a/src/main/java/fordridge/simulation/SimulatedScheduler.java
+++ b/src/main/java/fordridge/simulation/SimulatedScheduler.java
@@ -100,7 +100,7 @@
       case "dead" -> Machine.Lifecycle.GONE;
       default ->
           throw new JsonFields.MalformedInputException(
-              path + ": field 'lifecycle' is '" + value + "', not 'live', 'quiescing' or 'dead'");
+              path + ": field 'lifecycle' is not 'live', 'quiescing' or 'dead'");
     };
   }
 
