--- a/src/main/java/fordridge/machine/AttemptListener.java
+++ b/src/main/java/fordridge/machine/AttemptListener.java
@@ -7,13 +7,15 @@
 import java.time.Duration;
 
 /**
- * Receives what is concluded from the connections to a machine, whatever protocol they carry. All
- * methods are called on the thread that calls the pool or stream.
+ * Receives the events that are common to the JSON lines and the gRPC protocol: attempts that end
+ * and health checks that complete. All methods are called on the thread that calls the {@link
+ * MachineConnectionPool} or the {@link MachineStream}.
  */
 public interface AttemptListener {
   /**
-   * The first byte of the offer could be written at this instant: whether the attempt may still go,
-   * by all that is known by now. If not, it ends as one that was not sent.
+   * Returns whether a queued attempt may still be sent, decided on the current state. Called
+   * immediately before its offer is written; if false, the attempt ends as {@link
+   * Outcome#NOT_SENT}.
    */
   boolean confirmSend(PlacementAttempt attempt);
 
@@ -23,7 +25,7 @@
   /**
    * A health check was answered, failed or timed out.
    *
-   * @param withLoadReport whether the answer carried a load report
+   * @param withLoadReport whether the answer contained a load report
    * @param roundTrip time since the health check was requested
    */
   void probeCompleted(Machine machine, boolean healthy, boolean withLoadReport, Duration roundTrip);
--- a/src/main/java/fordridge/machine/ConnectFailure.java
+++ b/src/main/java/fordridge/machine/ConnectFailure.java
@@ -1,14 +1,14 @@
 package fordridge.machine;
 
-/** Why a connection to a machine did not come up, and so what that proves. */
+/** Why a connection attempt to a machine failed, which determines what it proves. */
 public enum ConnectFailure {
-  /** Nobody listens at the address: the machine's process is gone, or not there yet. */
+  /** No process listens at the address: the machine's process has ended or has not started yet. */
   REFUSED,
-  /** Nothing answered in time, or no route led to the machine. */
+  /** The attempt timed out, or there was no route to the machine. */
   UNREACHABLE,
   /**
-   * The scheduler's own host could not open a connection (no descriptor, port, buffer or network at
-   * that moment): it says nothing of the machine.
+   * The scheduler's own host could not open a connection, because it had no file descriptor, port,
+   * buffer or network at that moment. This says nothing about the machine.
    */
   LOCAL
 }
--- a/src/main/java/fordridge/machine/ConnectionBudget.java
+++ b/src/main/java/fordridge/machine/ConnectionBudget.java
@@ -7,42 +7,44 @@
 import java.util.List;
 
 /**
- * Shares out the connections among the machines with VMs, where there may be fewer connections than
- * machines. A termination notice waits until its machine has a connection, so the machines are
- * connected to in turn, and connections that are merely idle are closed for it. Some connections
- * always remain for placement requests. Stateless; free of I/O, threads and clocks.
+ * Divides a limited number of connections among the machines with VMs, of which there may be more.
+ * A machine can send a termination notice only on an open connection. The scheduler therefore
+ * connects to the machines in turn to monitor their VMs, and closes idle connections to make that
+ * possible. Some connections are always reserved for placement requests. Stateless; free of I/O,
+ * threads and clocks.
  */
 public final class ConnectionBudget {
-  /** How long a connection is kept at least: pending notices have come by then. */
+  /** Minimum idle time before a connection is closed: pending notices have arrived by then. */
   private static final Duration MIN_IDLE_TIME = Duration.ofMillis(500);
 
-  /** The fraction of all connections that remains for placement requests is one in this many. */
-  private static final int RESERVED_ONE_IN = 8;
+  /** One in this many connections is reserved for placement requests. */
+  private static final int OFFER_RESERVE_DIVISOR = 8;
 
   /**
-   * The fraction of all connections that placement requests leave for hearing of running VMs is one
-   * in this many: with it, machines of some times that number are connected to in turn within
-   * seconds, whatever is being placed.
+   * One in this many connections is reserved for monitoring machines that run VMs and have no
+   * placement request. With this share the scheduler connects in turn to several times as many
+   * machines within seconds, whatever the load of placement requests.
    */
-  private static final int LISTENING_ONE_IN = 4;
+  private static final int MONITORING_SHARE_DIVISOR = 4;
 
   /**
-   * Connections opened at once are bounded by this number and a fraction of the machines that need
-   * one: after a start hundreds may, and a placement request that comes then must not wait behind
-   * all their handshakes.
+   * At most this number, plus a fraction of the machines that need a connection, are opened in one
+   * tick. After a start hundreds of machines may need one, and a placement request that arrives
+   * then must not wait for all their handshakes.
    */
-  private static final int MIN_OPENED_AT_ONCE = 2;
+  private static final int BASE_OPEN_COUNT = 2;
 
-  private static final int OPENED_AT_ONCE_ONE_IN = 20;
+  /** One in this many of the machines that need a connection gets one in the same tick. */
+  private static final int OPEN_SHARE_DIVISOR = 20;
 
   private ConnectionBudget() {}
 
   /**
-   * Opens and closes connections where it is due, and sets how many more may carry placement
-   * requests. To be called behind the ticks of all pools.
+   * Opens and closes connections as needed, and updates the number of further connections that may
+   * carry placement requests. Call it after the ticks of all pools.
    *
-   * @param inUseCount connections in use, of all machines
-   * @param limit bound on {@code inUseCount}
+   * @param inUseCount number of connections in use, over all machines
+   * @param limit upper bound on {@code inUseCount}
    */
   public static void rebalance(
       Collection<MachineConnectionPool> pools,
@@ -51,12 +53,13 @@
       OfferAllowance offers,
       Duration now) {
     Demand demand = Demand.of(pools, limit);
-    int places = Math.max(0, limit - inUseCount);
-    int offerCarriers = demand.remainingForOffers(limit);
-    int reserved = Math.min(Math.max(1, limit / RESERVED_ONE_IN), offerCarriers);
-    int guaranteed = Math.min(demand.unheard(), places);
-    offers.set(offerCarriers, places - guaranteed);
-    int free = Math.max(places - reserved, guaranteed);
+    int available = Math.max(0, limit - inUseCount);
+    int remainingForOffers = demand.remainingForOffers(limit);
+    int reservedForOffers =
+        Math.min(Math.max(1, limit / OFFER_RESERVE_DIVISOR), remainingForOffers);
+    int reservedForMonitoring = Math.min(demand.missingForMonitoring(), available);
+    offers.set(remainingForOffers, available - reservedForMonitoring);
+    int availableForMonitoring = Math.max(available - reservedForOffers, reservedForMonitoring);
 
     List<MachineConnectionPool> waiting = new ArrayList<>();
     for (MachineConnectionPool pool : pools) {
@@ -64,54 +67,54 @@
         waiting.add(pool);
       }
     }
-    int atOnce =
-        Math.min(waiting.size(), MIN_OPENED_AT_ONCE + waiting.size() / OPENED_AT_ONCE_ONE_IN);
-    reconnectLeastRecent(waiting, Math.min(free, atOnce), now);
-    // Turns among the machines that wait; for offers only what is beyond the share of the others.
-    int lackingForTurns = atOnce - free;
-    int lackingForOffers = reserved - places;
-    int closed = closeSurplus(pools, Math.max(lackingForTurns, lackingForOffers), now);
-    int closable = Math.min(lackingForOffers - closed, demand.heard() - demand.listening());
-    closeLongestIdle(pools, Math.max(lackingForTurns - closed, closable), now);
+    int maxOpened = Math.min(waiting.size(), BASE_OPEN_COUNT + waiting.size() / OPEN_SHARE_DIVISOR);
+    reconnectLeastRecentlyTried(waiting, Math.min(availableForMonitoring, maxOpened), now);
+    // For monitoring, any idle connection may be closed, so that machines take turns. For offers,
+    // only those that exceed the share reserved for monitoring.
+    int monitoringShortfall = maxOpened - availableForMonitoring;
+    int offerShortfall = reservedForOffers - available;
+    int closed = closeSurplusIdle(pools, Math.max(monitoringShortfall, offerShortfall), now);
+    int closable = Math.min(offerShortfall - closed, demand.monitored() - demand.monitoringShare());
+    closeLongestIdle(pools, Math.max(monitoringShortfall - closed, closable), now);
   }
 
   /**
-   * What the connections are needed for.
+   * The demand for connections.
    *
-   * @param carrying connections that carry placement requests
-   * @param listening connections that are to be left for machines which carry none and have to be
-   *     heard of
-   * @param heard how many of these machines have a connection
+   * @param inUseByOffers number of connections that carry placement requests
+   * @param monitoringShare number of connections reserved for machines that carry no placement
+   *     request and have to be monitored
+   * @param monitored how many of these machines have a connection
    */
-  private record Demand(int carrying, int listening, int heard) {
+  private record Demand(int inUseByOffers, int monitoringShare, int monitored) {
     static Demand of(Collection<MachineConnectionPool> pools, int limit) {
-      int carrying = 0;
-      int machinesToHear = 0;
-      int heard = 0;
+      int inUseByOffers = 0;
+      int machinesToMonitor = 0;
+      int monitored = 0;
       for (MachineConnectionPool pool : pools) {
-        int ofMachine = pool.carrierCount();
-        carrying += ofMachine;
-        if (ofMachine == 0 && pool.hasToHear()) {
-          machinesToHear++;
-          heard += pool.isUnconnected() ? 0 : 1;
+        int busyConnections = pool.busyConnectionCount();
+        inUseByOffers += busyConnections;
+        if (busyConnections == 0 && pool.needsMonitoring()) {
+          machinesToMonitor++;
+          monitored += pool.isUnconnected() ? 0 : 1;
         }
       }
-      int listening = Math.min(limit / LISTENING_ONE_IN, machinesToHear);
-      return new Demand(carrying, listening, heard);
+      int monitoringShare = Math.min(limit / MONITORING_SHARE_DIVISOR, machinesToMonitor);
+      return new Demand(inUseByOffers, monitoringShare, monitored);
     }
 
-    /** How many connections of the share are not open. */
-    int unheard() {
-      return Math.max(0, listening - heard);
+    /** How many connections of the monitoring share are not open. */
+    int missingForMonitoring() {
+      return Math.max(0, monitoringShare - monitored);
     }
 
-    /** Connections that may carry placement requests, beyond those that do. */
+    /** How many connections may carry placement requests in addition to those that do. */
     int remainingForOffers(int limit) {
-      return Math.max(0, limit - listening - carrying);
+      return Math.max(0, limit - monitoringShare - inUseByOffers);
     }
   }
 
-  private static void reconnectLeastRecent(
+  private static void reconnectLeastRecentlyTried(
       List<MachineConnectionPool> waiting, int count, Duration now) {
     waiting.sort(Comparator.comparing(MachineConnectionPool::lastConnectAttemptAt));
     for (MachineConnectionPool pool : waiting.subList(0, count)) {
@@ -137,11 +140,12 @@
   }
 
   /**
-   * Closes idle connections of machines that have others, however short they are idle.
+   * Closes idle connections to machines that have other connections, however briefly they have been
+   * idle.
    *
-   * @return how many
+   * @return the number of connections closed
    */
-  private static int closeSurplus(
+  private static int closeSurplusIdle(
       Collection<MachineConnectionPool> pools, int count, Duration now) {
     int closed = 0;
     for (MachineConnectionPool pool : pools) {
--- a/src/main/java/fordridge/machine/ConnectionOpener.java
+++ b/src/main/java/fordridge/machine/ConnectionOpener.java
@@ -3,7 +3,10 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Finds or opens the connection to one machine that is to carry something. Not thread-safe. */
+/**
+ * Selects an open connection to one machine for a placement request or health check, or opens a new
+ * one. Not thread-safe.
+ */
 final class ConnectionOpener {
   private final OfferAllowance offers;
   private final MachineTransport transport;
@@ -11,8 +14,8 @@
   private final LivenessDetector liveness;
   private ConnectionTimeouts timeouts;
 
-  /** Its last connection was closed in favour of other machines. */
-  private boolean hasYielded;
+  /** Whether the machine's last connection was closed to free it for other machines. */
+  private boolean lastConnectionReclaimed;
 
   ConnectionOpener(
       ConnectionTimeouts timeouts,
@@ -32,59 +35,63 @@
   }
 
   /**
-   * An idle connection known to be good, else a new one, else the open one that carries least; one
-   * that carries some already if no further connection may.
+   * Selects a connection for a placement request: an idle one that is known to work, else a new
+   * one, else the open one with the fewest placement requests. If no further connection may carry
+   * placement requests, selects only among those that already do.
    *
-   * @param idempotent whether the VM may be placed again without harm should the connection be dead
+   * @param idempotent whether the VM can safely be placed again if the connection turns out broken
    */
   Optional<MachineConnection> acquireForOffer(boolean idempotent, Duration now) {
     if (offers.isExhausted()) {
-      return connections.leastLoadedCarrier();
+      return connections.leastLoadedBusy();
     }
-    Optional<MachineConnection> connection = findProvenIdle(idempotent, now);
+    Optional<MachineConnection> connection = findHealthyIdle(idempotent, now);
     if (connection.isEmpty() && offers.mayOpen() && transport.canOpen()) {
-      offers.opened();
+      offers.connectionOpened();
       connection = Optional.of(open(now));
     }
     connection = connection.or(connections::leastLoaded);
-    if (connection.isPresent() && !connection.get().isCarrier()) {
-      offers.carrierTaken();
+    if (connection.isPresent() && !connection.get().hasPlacementRequests()) {
+      offers.connectionBecameBusy();
     }
     return connection;
   }
 
-  /** An idle connection known to be good, else a new one, else the open one that carries least. */
+  /**
+   * Selects a connection for a health check: an idle one that is known to work, else a new one,
+   * else the open one with the fewest placement requests.
+   */
   Optional<MachineConnection> acquireForHealthCheck(Duration now) {
-    Optional<MachineConnection> proven = findProvenIdle(true, now);
-    if (proven.isPresent()) {
-      return proven;
+    Optional<MachineConnection> healthyIdle = findHealthyIdle(true, now);
+    if (healthyIdle.isPresent()) {
+      return healthyIdle;
     }
     return transport.canOpen() ? Optional.of(open(now)) : connections.leastLoaded();
   }
 
-  private Optional<MachineConnection> findProvenIdle(boolean idempotent, Duration now) {
-    Duration goodFor = idempotent ? timeouts.idleTimeout() : timeouts.provenFor();
-    Duration proofAt = idempotent ? liveness.lastHeardAt() : Duration.ZERO;
-    return connections.findProvenIdle(goodFor, proofAt, now);
+  private Optional<MachineConnection> findHealthyIdle(boolean idempotent, Duration now) {
+    Duration healthyFor = idempotent ? timeouts.idleTimeout() : timeouts.recentUseWindow();
+    Duration machineHeardAt = idempotent ? liveness.lastHeardAt() : Duration.ZERO;
+    return connections.findHealthyIdle(healthyFor, machineHeardAt, now);
   }
 
-  /** Opens a connection, which may be done. */
+  /** Opens a connection; the caller has checked that one may be opened. */
   MachineConnection open(Duration now) {
     MachineConnection connection = new MachineConnection(now, now.plus(timeouts.connectTimeout()));
     liveness.connectStarted(now);
-    hasYielded = false;
+    lastConnectionReclaimed = false;
     connections.add(connection);
     transport.open(connection);
     return connection;
   }
 
-  /** A connection was closed in favour of other machines. */
-  void connectionYielded() {
-    hasYielded = connections.isEmpty();
+  /** A connection of this machine was closed to free it for other machines. */
+  void connectionReclaimed() {
+    lastConnectionReclaimed = connections.isEmpty();
   }
 
-  /** Whether its last connection was closed in favour of other machines. */
-  boolean hasYielded() {
-    return hasYielded;
+  /** Whether the last connection was closed to free it for other machines. */
+  boolean isLastConnectionReclaimed() {
+    return lastConnectionReclaimed;
   }
 }
--- a/src/main/java/fordridge/machine/ConnectionSet.java
+++ b/src/main/java/fordridge/machine/ConnectionSet.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 /**
- * The connections to one machine that are not closed, oldest first, and the choice among them. Not
+ * The connections to one machine that are not closed, oldest first, with methods to select one. Not
  * thread-safe.
  */
 final class ConnectionSet {
@@ -20,7 +20,7 @@
     connections.add(connection);
   }
 
-  /** Removes the connection; false if it was removed before. */
+  /** Removes the connection; returns false if it was already removed. */
   boolean remove(MachineConnection connection) {
     return connections.remove(connection);
   }
@@ -33,7 +33,7 @@
     return connections.size();
   }
 
-  /** A copy, so that connections may be closed while it is gone through. */
+  /** Returns a copy, so that connections may be closed during iteration. */
   List<MachineConnection> all() {
     return List.copyOf(connections);
   }
@@ -42,82 +42,88 @@
     return connections.stream().anyMatch(MachineConnection::isOpening);
   }
 
-  /** The oldest connection that carries the request of this attempt. */
-  Optional<MachineConnection> findCarrier(PlacementAttempt attempt) {
+  /** Returns the oldest connection that carries the request of this attempt. */
+  Optional<MachineConnection> findRequestConnection(PlacementAttempt attempt) {
     return connections.stream().filter(connection -> connection.carries(attempt)).findFirst();
   }
 
   /**
-   * The connection that carries the sent request which the machine speaks of: the one that it
-   * speaks on, else any other. What it says on a connection where the VM's request was withdrawn,
-   * or elsewhere while an earlier attempt there is unsettled, may be about that one: empty.
+   * Returns the connection that carries the sent request to which a message of the machine refers:
+   * the connection that received the message, else any other. Empty if the message may refer to an
+   * earlier attempt: it came on a connection where the VM's request was withdrawn, or on another
+   * connection than the request's while an earlier attempt at the machine is unsettled.
    */
-  Optional<MachineConnection> findCarrier(String vmId, MachineConnection heardOn) {
-    if (heardOn.findSent(vmId).isPresent()) {
-      return Optional.of(heardOn);
+  Optional<MachineConnection> findRequestConnection(String vmId, MachineConnection receivedOn) {
+    if (receivedOn.findSent(vmId).isPresent()) {
+      return Optional.of(receivedOn);
     }
-    if (heardOn.hasWithdrawn(vmId)) {
+    if (receivedOn.hasWithdrawn(vmId)) {
       return Optional.empty();
     }
-    return findCarrier(vmId)
-        .filter(carrier -> !carrier.findSent(vmId).orElseThrow().hasUnsettledPredecessor());
+    return findRequestConnection(vmId)
+        .filter(connection -> !connection.findSent(vmId).orElseThrow().hasUnsettledPredecessor());
   }
 
-  /** The oldest connection that carries a sent request of this VM. */
-  Optional<MachineConnection> findCarrier(String vmId) {
+  /** Returns the oldest connection that carries a sent request for this VM. */
+  Optional<MachineConnection> findRequestConnection(String vmId) {
     return connections.stream()
         .filter(connection -> connection.findSent(vmId).isPresent())
         .findFirst();
   }
 
   /**
-   * The oldest idle connection that was proven good recently.
+   * Returns the oldest idle connection that is known to work, from its own use or from a message of
+   * the machine within the given time.
    *
-   * @param proofAt when the machine was last proven alive by other means than its own use
+   * @param healthyFor how long a connection is assumed to work after such proof
+   * @param machineHeardAt when the machine was last heard from; zero if that doesn't count as proof
    */
-  Optional<MachineConnection> findProvenIdle(Duration goodFor, Duration proofAt, Duration now) {
+  Optional<MachineConnection> findHealthyIdle(
+      Duration healthyFor, Duration machineHeardAt, Duration now) {
     return connections.stream()
         .filter(MachineConnection::isIdle)
-        .filter(idle -> isWithin(goodFor, Durations.max(idle.lastUsedAt(), proofAt), now))
+        .filter(
+            connection ->
+                isWithin(healthyFor, Durations.max(connection.lastUsedAt(), machineHeardAt), now))
         .findFirst();
   }
 
-  /** The open connection that carries the fewest placement requests, the oldest of these. */
+  /** Returns the open connection with the fewest placement requests, the oldest if several. */
   Optional<MachineConnection> leastLoaded() {
     return connections.stream()
         .filter(MachineConnection::isOpen)
         .min(Comparator.comparingInt(MachineConnection::placementRequestCount));
   }
 
-  /** The open connection that carries the fewest placement requests, if any carries some. */
-  Optional<MachineConnection> leastLoadedCarrier() {
+  /** Like {@link #leastLoaded}, but only among connections that carry placement requests. */
+  Optional<MachineConnection> leastLoadedBusy() {
     return connections.stream()
-        .filter(connection -> connection.isOpen() && connection.isCarrier())
+        .filter(connection -> connection.isOpen() && connection.hasPlacementRequests())
         .min(Comparator.comparingInt(MachineConnection::placementRequestCount));
   }
 
-  /** How many connections carry placement requests. */
-  int carrierCount() {
+  /** Returns the number of connections that carry placement requests. */
+  int busyCount() {
     int count = 0;
     for (MachineConnection connection : connections) {
-      count += connection.isCarrier() ? 1 : 0;
+      count += connection.hasPlacementRequests() ? 1 : 0;
     }
     return count;
   }
 
-  /** The newest connection on which something can be said to the machine. */
+  /** Returns the newest connection that is established, including one that is retiring. */
   Optional<MachineConnection> newestWritable() {
     return connections.stream()
         .filter(connection -> !connection.isOpening())
         .reduce((earlier, later) -> later);
   }
 
-  /** The newest connection that is open and not retiring. */
+  /** Returns the newest connection that is open and not retiring. */
   Optional<MachineConnection> newestOpen() {
     return connections.stream().filter(MachineConnection::isOpen).reduce((earlier, later) -> later);
   }
 
-  /** The connection that is idle for longest. */
+  /** Returns the connection that has been idle longest. */
   Optional<MachineConnection> longestIdle() {
     return connections.stream()
         .filter(MachineConnection::isIdle)
--- a/src/main/java/fordridge/machine/ConnectionTimeouts.java
+++ b/src/main/java/fordridge/machine/ConnectionTimeouts.java
@@ -3,40 +3,44 @@
 import java.time.Duration;
 
 /**
- * How long a {@link MachineConnectionPool} waits before it concludes something.
+ * Timeouts of a {@link MachineConnectionPool}.
  *
- * @param connectTimeout bound on the time in which a connection comes up or a health check is
- *     answered
- * @param detectionTimeout time in which a machine's failure has to be detected; the other timeouts
- *     are fractions of it
+ * @param connectTimeout maximum time to establish a connection or to answer a health check
+ * @param detectionTimeout time within which a machine's failure has to be detected; the other
+ *     timeouts are derived from it
  */
 public record ConnectionTimeouts(Duration connectTimeout, Duration detectionTimeout) {
   /**
-   * Bound on the silence after which a machine with VMs is checked. The protocol grants 8 s from a
-   * VM's end to its termination notice; half of that is spent before the check.
+   * Maximum time without a message before a machine with VMs is checked. The protocol allows 8 s
+   * from a VM's end to its termination notice; half of that may pass before the check.
    */
   private static final Duration MAX_SILENCE = Duration.ofSeconds(4);
 
   /**
-   * How long a surplus connection is kept unused, and how long the machine has to confirm a
-   * termination.
+   * How long an unused connection is kept if the machine has another, and how long the machine has
+   * to confirm a termination.
    */
   Duration idleTimeout() {
     return detectionTimeout.dividedBy(2);
   }
 
-  /** Silence after which a machine with VMs is checked by opening a new connection to it. */
+  /**
+   * Time without a message after which a machine with VMs is checked by opening a new connection.
+   */
   Duration silenceTimeout() {
     return detectionTimeout.compareTo(MAX_SILENCE) < 0 ? detectionTimeout : MAX_SILENCE;
   }
 
-  /** Silence, with no connection coming up, after which the machine is taken to have failed. */
+  /**
+   * Time without a message, while connection attempts time out, after which the machine is
+   * considered failed.
+   */
   public Duration failureTimeout() {
     return silenceTimeout().multipliedBy(3).dividedBy(2);
   }
 
-  /** A connection used so recently is taken to be good. */
-  Duration provenFor() {
+  /** Time after its last use during which a connection is assumed to work. */
+  Duration recentUseWindow() {
     return detectionTimeout.dividedBy(12);
   }
 }
--- a/src/main/java/fordridge/machine/ExecutionEvidence.java
+++ b/src/main/java/fordridge/machine/ExecutionEvidence.java
@@ -3,20 +3,21 @@
 import fordridge.model.PlacementAttempt.Outcome;
 
 /**
- * What is known of an attempt's execution when its connection or its machine fails. The outcome of
- * the attempt follows from it: only an attempt that provably never ran may be repeated freely.
+ * What is known about an attempt's execution when its connection or its machine fails. It
+ * determines the outcome of the attempt: only an attempt that provably never ran may be retried in
+ * all cases.
  */
 enum ExecutionEvidence {
   /**
-   * The placement request was never written, for a reason that is not the machine's: the VM never
-   * ran, and nothing is known of the machine.
+   * The placement request was withdrawn before it was written, for a reason that says nothing about
+   * the machine's health: the VM never ran.
    */
-  NOT_ATTEMPTED(Outcome.NOT_SENT),
-  /** The placement request was never written to a connection: the VM never ran. */
+  WITHDRAWN_BEFORE_SEND(Outcome.NOT_SENT),
+  /** The connection failed before the placement request was written: the VM never ran. */
   NEVER_SENT(Outcome.UNREACHABLE),
-  /** The placement request was written and has no answer: the VM may have run, or may run. */
+  /** The placement request was written and not answered: the VM may have run or be running. */
   MAY_HAVE_RUN(Outcome.RESET),
-  /** The machine has accepted the VM, or said otherwise that it runs: nothing places it again. */
+  /** The machine accepted the VM or otherwise reported that it runs: it is not placed again. */
   RUNNING(Outcome.RESET);
 
   private final Outcome outcomeOnFailure;
@@ -25,18 +26,18 @@
     this.outcomeOnFailure = outcomeOnFailure;
   }
 
-  /** The outcome of the attempt if nothing more will be heard of it. */
+  /** The outcome of the attempt if no further message about it can arrive. */
   Outcome outcomeOnFailure() {
     return outcomeOnFailure;
   }
 
-  /** Whether its VM may run on although nothing more will be heard of it. */
+  /** Whether the VM may still run although no further message about it can arrive. */
   boolean mayStillRun() {
     return this == MAY_HAVE_RUN || this == RUNNING;
   }
 
   /** The outcome of the attempt if the scheduler cancels it for the given reason. */
   Outcome outcomeOnCancel(Outcome reason) {
-    return this == NEVER_SENT || this == NOT_ATTEMPTED ? outcomeOnFailure : reason;
+    return this == NEVER_SENT || this == WITHDRAWN_BEFORE_SEND ? outcomeOnFailure : reason;
   }
 }
--- a/src/main/java/fordridge/machine/ExponentialBackoff.java
+++ b/src/main/java/fordridge/machine/ExponentialBackoff.java
@@ -5,11 +5,12 @@
 import java.time.Duration;
 
 /**
- * Pauses between attempts to connect: they double with each failure in a row up to a bound, and are
- * drawn from the upper half of that span. Not thread-safe.
+ * Exponential backoff with jitter between connection attempts. The bound on the delay doubles with
+ * each consecutive failure up to a maximum; the delay is drawn at random from its upper half. Not
+ * thread-safe.
  */
 final class ExponentialBackoff {
-  /** Doublings after which the bound is reached in any case; keeps the power finite. */
+  /** Cap on the exponent, beyond any that reaches the maximum, so that the power stays finite. */
   private static final int MAX_DOUBLINGS = 30;
 
   private final double minSeconds;
@@ -23,15 +24,15 @@
     this.random = random;
   }
 
-  /** Records a failure and returns the pause before the next attempt. */
-  Duration nextPause() {
+  /** Records a failure and returns the delay before the next attempt. */
+  Duration nextDelay() {
     int doublings = Math.min(failures, MAX_DOUBLINGS);
     failures++;
     double bound = Math.min(maxSeconds, minSeconds * Math.pow(2, doublings));
     return Durations.ofSeconds(bound * (0.5 + random.next() / 2));
   }
 
-  /** Failures in a row. */
+  /** Returns the number of consecutive failures. */
   int failures() {
     return failures;
   }
--- a/src/main/java/fordridge/machine/LivenessDetector.java
+++ b/src/main/java/fordridge/machine/LivenessDetector.java
@@ -4,26 +4,30 @@
 import java.util.Optional;
 
 /**
- * Decides whether a machine has failed, from what came from it and from what became of the attempts
- * to connect to it. It takes a machine for failed if it refuses two connections in a row, or if it
- * is silent and lets two connections in a row time out. Not thread-safe.
+ * Decides whether a machine has failed, from the messages received from it and the results of
+ * connection attempts. A machine is considered failed if it refuses two connections in a row, or if
+ * two connection attempts in a row time out and no message has arrived for the failure timeout. Not
+ * thread-safe.
  */
 final class LivenessDetector {
-  private static final int FAILED_CONNECTS_IN_A_ROW = 2;
+  private static final int CONSECUTIVE_CONNECT_FAILURES = 2;
 
   private Duration lastHeardAt = Duration.ZERO;
-  private Duration lastConnectAt = Duration.ZERO;
+  private Duration lastConnectStartedAt = Duration.ZERO;
   private int refusals;
   private int timeouts;
 
-  /** Anything at all came from the machine. */
+  /** A message of any kind arrived from the machine. */
   void messageReceived(Duration now) {
     lastHeardAt = now;
     refusals = 0;
     timeouts = 0;
   }
 
-  /** A VM is known to run there; the machine's silence counts from now if nothing came before. */
+  /**
+   * A VM that runs on the machine was adopted. If the machine was never heard from, its silence is
+   * counted from now.
+   */
   void vmAdopted(Duration now) {
     if (lastHeardAt.equals(Duration.ZERO)) {
       lastHeardAt = now;
@@ -31,10 +35,10 @@
   }
 
   void connectStarted(Duration now) {
-    lastConnectAt = now;
+    lastConnectStartedAt = now;
   }
 
-  /** A connection did not come up. */
+  /** A connection attempt failed. */
   void connectFailed(ConnectFailure failure) {
     switch (failure) {
       case REFUSED -> refusals++;
@@ -47,14 +51,14 @@
   }
 
   /**
-   * Whether no process listens there any more, or nothing came up for long: what ran there is lost
-   * with the process.
+   * Returns why the machine is considered failed, so that its VMs count as lost; empty if it is
+   * not.
    */
-  Optional<MachineFailure> failure(ConnectionTimeouts connectionTimeouts, Duration now) {
-    if (refusals >= FAILED_CONNECTS_IN_A_ROW) {
+  Optional<MachineFailure> detectFailure(ConnectionTimeouts connectionTimeouts, Duration now) {
+    if (refusals >= CONSECUTIVE_CONNECT_FAILURES) {
       return Optional.of(MachineFailure.REFUSES_CONNECTIONS);
     }
-    boolean timesOut = timeouts >= FAILED_CONNECTS_IN_A_ROW;
+    boolean timesOut = timeouts >= CONSECUTIVE_CONNECT_FAILURES;
     return timesOut && isSilentFor(connectionTimeouts.failureTimeout(), now)
         ? Optional.of(MachineFailure.UNREACHABLE)
         : Optional.empty();
@@ -64,16 +68,16 @@
     return now.minus(lastHeardAt).compareTo(span) >= 0;
   }
 
-  /** Whether the last attempt to connect was started at least so long ago. */
-  boolean isUntriedFor(Duration span, Duration now) {
-    return now.minus(lastConnectAt).compareTo(span) >= 0;
+  /** Whether the last connection attempt was started at least {@code span} ago. */
+  boolean isLastConnectOlderThan(Duration span, Duration now) {
+    return now.minus(lastConnectStartedAt).compareTo(span) >= 0;
   }
 
   Duration lastHeardAt() {
     return lastHeardAt;
   }
 
-  Duration lastConnectAt() {
-    return lastConnectAt;
+  Duration lastConnectStartedAt() {
+    return lastConnectStartedAt;
   }
 }
--- a/src/main/java/fordridge/machine/LoadReport.java
+++ b/src/main/java/fordridge/machine/LoadReport.java
@@ -3,8 +3,8 @@
 /**
  * A machine's report of its load.
  *
- * @param spareCores cores that are free, NaN where the report has none
- * @param spareMemory memory that is free, NaN where the report has none
- * @param utilization fraction of the machine in use, NaN where the report has none
+ * @param spareCores number of free cores; NaN if not reported
+ * @param spareMemory free memory; NaN if not reported
+ * @param utilization fraction of the machine in use; NaN if not reported
  */
 public record LoadReport(double spareCores, double spareMemory, double utilization) {}
--- a/src/main/java/fordridge/machine/MachineCloseReason.java
+++ b/src/main/java/fordridge/machine/MachineCloseReason.java
@@ -1,15 +1,18 @@
 package fordridge.machine;
 
-/** Why a scheduler closed a connection to a machine, for logs and statistics. */
+/** Why the scheduler closed a connection to a machine. The names are written to the log. */
 public enum MachineCloseReason {
-  /** It did not come up in time. */
+  /** The connection was not established within the connect timeout. */
   CONNECT_TIMED_OUT,
-  /** A request was withdrawn on it or a health check timed out, and nothing is pending on it. */
+  /**
+   * A request on the connection was withdrawn or a health check timed out, and nothing is pending
+   * on it any more.
+   */
   RETIRED,
-  /** It carried nothing for a while, and another is open. */
+  /** The connection was unused for the idle timeout, and the machine has another one. */
   IDLE,
-  /** Another machine needed its place. */
+  /** The connection was idle, and the connection limit left none for another machine. */
   YIELDED,
-  /** The machine list says that the machine is gone, or its process is known to be. */
+  /** The machine is considered failed; see {@link MachineFailure}. */
   MACHINE_FAILED
 }
--- a/src/main/java/fordridge/machine/MachineConnection.java
+++ b/src/main/java/fordridge/machine/MachineConnection.java
@@ -13,8 +13,9 @@
 import java.util.Set;
 
 /**
- * One connection to a machine: its state, and what it carries. Owned by one {@link
- * MachineConnectionPool}, which makes every transition; not thread-safe.
+ * One connection to a machine: its state, and the placement requests and health checks that it
+ * carries. Owned by one {@link MachineConnectionPool}, which makes every transition; not
+ * thread-safe.
  *
  * <pre>
  * state     established  request cancelled or   last request  failed, lost
@@ -25,29 +26,33 @@
  * </pre>
  */
 public final class MachineConnection {
-  /** Where the connection is in its life cycle. */
+  /** The state of the connection. */
   enum State {
-    /** Being opened; placement requests and a health check wait for it. */
+    /** Being opened; placement requests and health checks are queued until it is established. */
     OPENING,
     /** Carries placement requests and health checks. */
     OPEN,
     /**
-     * Takes no new placement request: a late answer to what was cancelled on it could be mistaken
-     * for the answer to a later request. Closed once its pending requests have their answers.
+     * Accepts no new placement request, because a late answer to a request that was cancelled on it
+     * could be mistaken for the answer to a later request for the same VM. Closed once its pending
+     * placement requests and health checks have completed.
      */
     RETIRING,
-    /** Nothing more is concluded from it. */
+    /** Closed; further events of it are ignored. */
     CLOSED
   }
 
-  /** A health check without an answer; {@code isProbe}: the scheduler waits for its result. */
+  /** An unanswered health check; {@code isProbe} if the scheduler waits for its result. */
   private record HealthCheck(Duration sentAt, boolean isProbe) {}
 
   private final Duration openedAt;
-  private final Duration connectBy;
+  private final Duration connectDeadline;
   private final Map<String, PlacementRequest> placementRequests = new LinkedHashMap<>();
 
-  /** Ids whose request was withdrawn on it: what still comes on them is about that request. */
+  /**
+   * Ids of VMs whose request on this connection was withdrawn: further messages about them on this
+   * connection refer to that request.
+   */
   private final Set<String> withdrawnVmIds = new HashSet<>();
 
   private State state = State.OPENING;
@@ -57,18 +62,18 @@
   private long answeredHealthCheckCount;
   private Object attachment;
 
-  MachineConnection(Duration openedAt, Duration connectBy) {
+  MachineConnection(Duration openedAt, Duration connectDeadline) {
     this.openedAt = openedAt;
     this.lastUsedAt = openedAt;
-    this.connectBy = connectBy;
+    this.connectDeadline = connectDeadline;
   }
 
-  /** Keeps the transport's own object for this connection. */
+  /** Attaches the transport's own object for this connection. */
   public void attach(Object transportHandle) {
     attachment = transportHandle;
   }
 
-  /** The object that the transport attached, null before. */
+  /** Returns the object that the transport attached; null if none is attached yet. */
   public Object attachment() {
     return attachment;
   }
@@ -86,13 +91,13 @@
     return state == State.OPEN && placementRequests.isEmpty() && healthChecks.isEmpty();
   }
 
-  /** Whether it carries placement requests, or will once it is up. */
-  boolean isCarrier() {
+  /** Whether it carries placement requests, sent or queued. */
+  boolean hasPlacementRequests() {
     return !placementRequests.isEmpty();
   }
 
   boolean hasConnectTimedOut(Duration now) {
-    return state == State.OPENING && now.compareTo(connectBy) >= 0;
+    return state == State.OPENING && now.compareTo(connectDeadline) >= 0;
   }
 
   // Transitions
@@ -110,7 +115,7 @@
     state = State.CLOSED;
   }
 
-  /** Whether it is to be closed, as it takes no new request and carries none. */
+  /** Whether it is retiring and nothing is pending on it, so that it can be closed. */
   boolean isRetired() {
     return state == State.RETIRING && placementRequests.isEmpty() && healthChecks.isEmpty();
   }
@@ -125,12 +130,12 @@
     return Optional.ofNullable(placementRequests.get(vmId));
   }
 
-  /** The request of this VM, if it was written. */
+  /** Returns the request for this VM if it was written. */
   Optional<PlacementRequest> findSent(String vmId) {
     return find(vmId).filter(PlacementRequest::isSent);
   }
 
-  /** The request of this VM was written and is withdrawn. */
+  /** Records that the request for this VM was written and has been withdrawn. */
   void markWithdrawn(String vmId) {
     withdrawnVmIds.add(vmId);
   }
@@ -147,7 +152,7 @@
     return Optional.ofNullable(placementRequests.remove(vmId));
   }
 
-  /** Those of which nothing was written yet, in the order in which they came. */
+  /** Returns the placement requests that were not written yet, in the order of arrival. */
   List<PlacementRequest> unsentRequests() {
     List<PlacementRequest> unsent = new ArrayList<>();
     for (PlacementRequest request : placementRequests.values()) {
@@ -158,14 +163,14 @@
     return unsent;
   }
 
-  /** Removes all placement requests, in the order in which they came. */
+  /** Removes all placement requests and returns them in the order of arrival. */
   List<PlacementRequest> takePlacementRequests() {
     List<PlacementRequest> taken = new ArrayList<>(placementRequests.values());
     placementRequests.clear();
     return taken;
   }
 
-  /** The ids of the VMs whose placement requests it carries. */
+  /** Returns the ids of the VMs whose placement requests it carries. */
   public List<String> placementRequestIds() {
     return List.copyOf(placementRequests.keySet());
   }
@@ -176,7 +181,7 @@
 
   // Use and health checks
 
-  /** When it was started to be opened. */
+  /** The time at which the connection attempt was started. */
   public Duration openedAt() {
     return openedAt;
   }
@@ -189,7 +194,7 @@
     return now.minus(lastUsedAt).compareTo(span) >= 0;
   }
 
-  void used(Duration now) {
+  void markUsed(Duration now) {
     lastUsedAt = now;
   }
 
@@ -198,7 +203,10 @@
     healthChecks.add(new HealthCheck(now, true));
   }
 
-  /** A health check of which only the answer counts; its number on this connection. */
+  /**
+   * Records a health check whose answer is needed only as an acknowledgement; returns its number on
+   * this connection.
+   */
   long pingSent(Duration now) {
     healthCheckCount++;
     healthChecks.add(new HealthCheck(now, false));
@@ -216,8 +224,8 @@
   }
 
   /**
-   * The first health check without an answer has been answered. How long that took, if it is a
-   * probe; empty if it is not, or there is none.
+   * Records the answer to the oldest pending health check. Returns its round-trip time if it is a
+   * probe; empty if it is not, or if no health check is pending.
    */
   Optional<Duration> healthCheckAnswered(Duration now) {
     HealthCheck answered = healthChecks.poll();
@@ -228,12 +236,12 @@
     return Optional.of(answered).filter(HealthCheck::isProbe).map(check -> now.minus(check.sentAt));
   }
 
-  /** The number of the health check that was answered last, from 1 on. */
+  /** Returns the number of the last answered health check, counted from 1; 0 if there is none. */
   long answeredHealthCheckCount() {
     return answeredHealthCheckCount;
   }
 
-  /** No answer is waited for any more; for each probe, how long it was. */
+  /** Removes all pending health checks; returns the time since its request for each probe. */
   List<Duration> takeProbes(Duration now) {
     List<Duration> probes = new ArrayList<>();
     for (HealthCheck check : healthChecks) {
--- a/src/main/java/fordridge/machine/MachineConnectionPool.java
+++ b/src/main/java/fordridge/machine/MachineConnectionPool.java
@@ -7,30 +7,30 @@
 import java.util.Optional;
 
 /**
- * The connections of one scheduler to one machine on the JSON lines protocol, and what may be
- * concluded from them about the attempts on that machine. Here a placement request is bound to the
- * connection that carries it, and a running VM to none.
+ * The connections of one scheduler to one machine on the JSON lines protocol. The pool derives the
+ * outcomes of the attempts on that machine from their events. A placement request is bound to the
+ * connection that carries it; a running VM is not bound to a connection.
  *
- * <p>Free of I/O, threads and clocks: the time is a parameter, and it acts through {@link
- * MachineTransport} and {@link MachineConnectionListener}. Not thread-safe; all methods belong on
- * one event loop.
+ * <p>Free of I/O, threads and clocks: the time is a parameter, and the pool acts through {@link
+ * MachineTransport} and {@link MachineConnectionListener}. Not thread-safe; all methods must be
+ * called on one event loop.
  *
- * <p>What a failure proves is in {@link ExecutionEvidence}. A connection carries one placement
- * request at a time while more can be opened: a broken one takes no other attempt with it.
+ * <p>{@link ExecutionEvidence} defines what a failure proves. A connection carries one placement
+ * request at a time while more can be opened, so that a lost connection affects one attempt only.
  *
- * <p>The states and transitions of a single connection are in {@link MachineConnection}. The pool
+ * <p>{@link MachineConnection} has the states and transitions of a single connection. The pool
  * itself follows the machine's life cycle in the machine list:
  *
  * <pre>
  * life cycle  new attempt   unsent requests    sent requests      running VMs
- * LIVE        is sent       wait               wait               run on
- * DRAINING    NOT_SENT      NOT_SENT           wait               run on
+ * LIVE        is sent       stay queued        stay pending       unaffected
+ * DRAINING    NOT_SENT      NOT_SENT           stay pending       unaffected
  * GONE        NOT_SENT      NOT_SENT           RESET              RESET
  * failed      is sent       UNREACHABLE        RESET              RESET
  * </pre>
  */
 public final class MachineConnectionPool {
-  /** How long a machine with VMs may go without a connection while descriptors are short. */
+  /** Maximum time without a connection to a machine with VMs while the connection limit is hit. */
   private static final Duration MAX_TIME_UNCONNECTED = Duration.ofSeconds(4);
 
   private final Machine machine;
@@ -41,16 +41,15 @@
   private final RunningVms runningVms;
   private final LivenessDetector liveness = new LivenessDetector();
   private final ConnectionOpener opener;
-  private final UnownedVmReleaser releaser;
+  private final OrphanedVmReleaser releaser;
   private ConnectionTimeouts timeouts;
   private Machine.Lifecycle lifecycle = Machine.Lifecycle.LIVE;
-
   private boolean needsConnection;
 
   /**
    * Creates a pool without connections for a machine that is live.
    *
-   * @param offers shared by the pools of all machines
+   * @param offers the allowance that the pools of all machines share
    */
   public MachineConnectionPool(
       Machine machine,
@@ -65,16 +64,16 @@
     executions = new VmExecutions(machine, connections, listener);
     runningVms = executions.runningVms();
     opener = new ConnectionOpener(timeouts, offers, transport, connections, liveness);
-    releaser = new UnownedVmReleaser(machine, executions, connections, transport, listener);
+    releaser = new OrphanedVmReleaser(machine, executions, connections, transport, listener);
   }
 
-  /** Replaces the timeouts, for all that starts from now on. */
+  /** Replaces the timeouts; deadlines that were already set stay as they are. */
   public void setTimeouts(ConnectionTimeouts newTimeouts) {
     timeouts = newTimeouts;
     opener.setTimeouts(newTimeouts);
   }
 
-  /** The running attempt of the VM, if it runs on this machine. */
+  /** Returns the running attempt of the VM, if it runs on this machine. */
   public Optional<PlacementAttempt> findRunningAttempt(String vmId) {
     return runningVms.find(vmId);
   }
@@ -83,17 +82,17 @@
     return runningVms.size();
   }
 
-  /** Whether the machine is gone and nothing is left of it. */
+  /** Whether the machine is gone and has neither connections nor running VMs left. */
   boolean isRetired() {
     return isGone() && connections.isEmpty() && runningVms.isEmpty();
   }
 
   /**
-   * Sends an attempt on a connection that can carry it, at once or when it comes up. Ends as {@link
-   * Outcome#NOT_SENT} if there is none to be had or the machine takes no new VMs.
+   * Sends an attempt at once or when its connection is established. It ends as {@link
+   * Outcome#NOT_SENT} if no connection is available or the machine accepts no new VMs.
    *
-   * @param timeLeft time in which the machine has to answer
-   * @param idempotent whether the VM may be placed again without harm should the connection be dead
+   * @param timeLeft time within which the machine has to answer
+   * @param idempotent whether the VM can safely be placed again if the connection turns out broken
    */
   public void offer(PlacementAttempt attempt, Duration timeLeft, boolean idempotent, Duration now) {
     Optional<MachineConnection> connection =
@@ -105,27 +104,27 @@
       return;
     }
     connection.get().add(new PlacementRequest(attempt, now.plus(timeLeft)));
-    sendWaiting(connection.get(), now);
+    sendPending(connection.get(), now);
   }
 
   /**
-   * Ends an attempt that the scheduler waits for no longer: with the given outcome if a connection
-   * has carried it, else as one that never ran.
+   * Cancels an attempt whose answer the scheduler no longer waits for. It ends with the given
+   * outcome if its request was written, else with one that shows that it never ran.
    */
   public void cancel(PlacementAttempt attempt, Outcome outcome, Duration now) {
-    Optional<MachineConnection> carrier = connections.findCarrier(attempt);
-    if (carrier.isPresent()) {
-      cancelOn(carrier.get(), attempt, outcome, now);
+    Optional<MachineConnection> connection = connections.findRequestConnection(attempt);
+    if (connection.isPresent()) {
+      cancelOn(connection.get(), attempt, outcome, now);
     } else if (attempt.isInFlight() && attempt.acceptedAt == null) {
       executions.end(attempt, Outcome.NOT_SENT);
     }
   }
 
-  /** Whether the machine has shown that the VM of an attempt without an answer runs. */
+  /** Whether the machine has reported that the VM of an unanswered attempt runs. */
   public boolean isKnownToRun(PlacementAttempt attempt) {
     return connections
-        .findCarrier(attempt)
-        .flatMap(carrier -> carrier.find(attempt.vm.id))
+        .findRequestConnection(attempt)
+        .flatMap(connection -> connection.find(attempt.vm.id))
         .filter(PlacementRequest::isKnownToRun)
         .isPresent();
   }
@@ -139,7 +138,7 @@
     }
   }
 
-  /** Starts a health check; it fails at once if no connection is to be had. */
+  /** Starts a health check; it fails at once if no connection is available. */
   public void probe(Duration now) {
     Optional<MachineConnection> connection =
         isGone() ? Optional.empty() : opener.acquireForHealthCheck(now);
@@ -154,20 +153,20 @@
   }
 
   /**
-   * A client that hands a VM over takes the place of whoever had it here before: an attempt that is
-   * running, being terminated or unanswered ends as cancelled, and the machine is not told.
+   * A client hands over a VM, which replaces any attempt of that VM here: one that is running,
+   * being terminated or unanswered ends as cancelled, and nothing is sent to the machine.
    */
   public void supersede(String vmId) {
     executions.supersede(vmId);
   }
 
-  /** Takes over a VM that a client says runs on the machine. */
+  /** Adopts a VM that runs on the machine according to a client. */
   public void adopt(PlacementAttempt attempt, Duration now) {
     liveness.vmAdopted(now);
     executions.adopt(attempt, now);
   }
 
-  /** The machine list shows the machine in that state. */
+  /** The machine list shows the machine in this life-cycle state. */
   public void machineListed(Machine.Lifecycle listedLifecycle, Duration now) {
     boolean wasGone = isGone();
     lifecycle = listedLifecycle;
@@ -179,49 +178,49 @@
     }
   }
 
-  /** The machine list names another machine at its address: this one's process is gone. */
+  /** The machine list names another machine at its address: this machine's process has ended. */
   public void addressTaken(Duration now) {
     machineFailed(MachineFailure.ADDRESS_TAKEN, now);
   }
 
-  /** The machine started anew at that time: VMs that were accepted before are lost. */
+  /** The machine restarted at that time: VMs that it accepted earlier are lost. */
   public void machineRestarted(Duration startedAt) {
     executions.vmsLostBefore(startedAt);
   }
 
-  /** The VM is known to run no longer, by other means than the machine's own notice. */
+  /** The VM is considered lost, though the machine sent no notice of its end. */
   public void vmLost(String vmId) {
     executions.vmLost(vmId);
   }
 
-  /** The connection came up. */
+  /** The connection was established. */
   public void connectionEstablished(MachineConnection connection, Duration now) {
     if (!connection.isOpening()) {
       return;
     }
     messageReceived(now);
     connection.established(now);
-    sendWaiting(connection, now);
-    // Repeats what was said on a connection that broke, or on none; the machine ignores it if it
-    // knows.
+    sendPending(connection, now);
+    // Terminations may have been lost with another connection, or had none to be sent on. The
+    // machine ignores duplicates.
     runningVms.terminating().forEach(vmId -> transport.terminate(connection, vmId));
     if (connection.isProbing()) {
       transport.probe(connection);
     }
-    releaser.releaseWhereDue(now);
+    releaser.releaseIfDue(now);
   }
 
-  /** What was written to the connection has gone out. */
+  /** All earlier output of the connection was passed to the network. */
   public void connectionWritable(MachineConnection connection, Duration now) {
-    sendWaiting(connection, now);
+    sendPending(connection, now);
   }
 
-  /** Anything at all came from the machine, whatever it says. */
+  /** A message of any kind arrived from the machine. */
   public void messageReceived(Duration now) {
     liveness.messageReceived(now);
   }
 
-  /** The connection did not come up. What it was to carry never ran. */
+  /** The connection attempt failed. The requests queued on the connection never ran. */
   public void connectionFailed(MachineConnection connection, ConnectFailure failure, Duration now) {
     if (!connections.remove(connection)) {
       return;
@@ -235,122 +234,122 @@
       withdrawUnsentRequests(connection);
     }
     executions.requestsLost(connection, now);
-    failProbe(connection, now);
-    liveness.failure(timeouts, now).ifPresent(reason -> machineFailed(reason, now));
+    failProbes(connection, now);
+    liveness.detectFailure(timeouts, now).ifPresent(reason -> machineFailed(reason, now));
   }
 
-  /** The connection broke, was closed by the machine, or received something malformed. */
+  /** The connection broke, was closed by the machine, or received malformed input. */
   public void connectionLost(MachineConnection connection, Duration now) {
     if (!connections.remove(connection)) {
       return;
     }
     connection.closed();
     executions.requestsLost(connection, now);
-    failProbe(connection, now);
-    releaser.releaseWhereDue(now);
+    failProbes(connection, now);
+    releaser.releaseIfDue(now);
   }
 
-  /** The machine accepted a VM, on whichever connection; ignored if it is not requested here. */
+  /** The machine accepted a VM, on any connection; one that is unknown here is released. */
   public void vmAccepted(
       MachineConnection connection, String vmId, String description, Duration now) {
     executions
         .accepted(connection, vmId, description, now)
-        .ifPresent(carrier -> requestEnded(carrier, connection, now));
-    releaser.releaseWhereDue(now);
+        .ifPresent(sentOn -> requestEnded(sentOn, connection, now));
+    releaser.releaseIfDue(now);
   }
 
-  /** The machine reported on a VM, as it does only for one that runs. */
+  /** The machine sent a report on a VM, which it does only for a running VM. */
   public void vmReported(MachineConnection connection, String vmId) {
     executions.reported(connection, vmId);
   }
 
   /**
-   * The machine ended the placement request that this connection carries, or a VM that runs, on
-   * whichever connection. That of an unknown VM is kept for a client that hands it over.
+   * The machine ended the placement request that this connection carries, or a running VM; a notice
+   * for the latter may arrive on any connection. One for an unknown VM is kept for its adoption.
    */
   public void vmTerminated(MachineConnection connection, VmTermination termination, Duration now) {
     executions
         .terminated(connection, termination, now)
-        .ifPresent(carrier -> requestEnded(carrier, connection, now));
+        .ifPresent(sentOn -> requestEnded(sentOn, connection, now));
   }
 
-  private void requestEnded(MachineConnection carrier, MachineConnection heardOn, Duration now) {
-    heardOn.used(now);
-    closeIfRetired(carrier);
+  private void requestEnded(MachineConnection sentOn, MachineConnection receivedOn, Duration now) {
+    receivedOn.markUsed(now);
+    closeIfRetired(sentOn);
   }
 
-  /** The machine heard that a VM is to be terminated, and so has cut it. */
+  /** The machine acknowledged a termination request, and so has stopped the VM. */
   public void terminationAcknowledged(String vmId) {
     executions.terminationAcknowledged(vmId);
   }
 
-  /** Whether the end of a VM that is not known to run here was notified and is kept. */
+  /** Whether a termination notice for a VM that is not known to run here is kept. */
   public boolean isEndKept(String vmId, Duration now) {
-    return runningVms.isEndKept(vmId, now);
+    return runningVms.hasUnclaimedTermination(vmId, now);
   }
 
-  /** VMs that may run there and that nobody owns. */
+  /** The given-up attempts on this machine whose VMs may still run. */
   public UnsettledAttempts unsettled() {
     return executions.unsettled();
   }
 
-  /** Ends of unknown VMs that gave way to later ones since the start. */
+  /** Number of notices for unknown VMs that were displaced by later ones since the start. */
   public long displacedEndCount() {
-    return runningVms.displacedEndCount();
+    return runningVms.displacedTerminationCount();
   }
 
   /** The machine answered a health check. */
   public void probeAnswered(
       MachineConnection connection, boolean healthy, boolean withLoadReport, Duration now) {
     Optional<Duration> roundTrip = connection.healthCheckAnswered(now);
-    executions.readByMachine(connection);
+    executions.healthCheckAnswered(connection);
     if (roundTrip.isPresent()) {
-      connection.used(now);
+      connection.markUsed(now);
       listener.probeCompleted(machine, healthy, withLoadReport, roundTrip.get());
     }
     closeIfRetired(connection);
   }
 
   /**
-   * Applies the timeouts. To be called several times within the connect timeout; {@link
-   * ConnectionBudget#rebalance} follows the ticks of all pools.
+   * Applies the timeouts. Call it several times per connect timeout; call {@link
+   * ConnectionBudget#rebalance} after the ticks of all pools.
    */
   public void tick(Duration now) {
     applyConnectionTimeouts(now);
-    executions.endUnconfirmed(now);
-    releaser.releaseWhereDue(now);
+    executions.endUnconfirmedTerminations(now);
+    releaser.releaseIfDue(now);
     needsConnection = isConnectionNeeded(now);
   }
 
-  /** How many of its connections carry placement requests. */
-  int carrierCount() {
-    return connections.carrierCount();
+  /** Returns the number of connections that carry placement requests. */
+  int busyConnectionCount() {
+    return connections.busyCount();
   }
 
   boolean isUnconnected() {
     return connections.isEmpty();
   }
 
-  /** Whether it has an idle connection that is not its only one. */
+  /** Whether the machine has several connections, at least one of them idle. */
   boolean hasSurplusIdle() {
     return connections.size() > 1 && connections.longestIdle().isPresent();
   }
 
-  /** Whether the machine may have something to say of VMs that run there. */
-  boolean hasToHear() {
+  /** Whether the machine may run VMs and so may have notices to send. */
+  boolean needsMonitoring() {
     return !isGone() && !(runningVms.isEmpty() && executions.releasable().isEmpty());
   }
 
-  /** Whether the last tick found that a connection is needed to hear of running VMs. */
+  /** Whether the last tick found that a connection is needed for the VMs on the machine. */
   boolean needsConnection() {
     return needsConnection;
   }
 
   Duration lastConnectAttemptAt() {
-    return liveness.lastConnectAt();
+    return liveness.lastConnectStartedAt();
   }
 
-  /** Opens a connection if one more may be opened. */
+  /** Opens a connection if the limit allows one more. */
   void reconnect(Duration now) {
     if (transport.canOpen()) {
       needsConnection = false;
@@ -358,19 +357,19 @@
     }
   }
 
-  /** Since when the connection that is idle for longest has been so; empty if none is idle. */
+  /** When the connection that has been idle longest was last used; empty if none is idle. */
   Optional<Duration> idleSince() {
     return connections.longestIdle().map(MachineConnection::lastUsedAt);
   }
 
-  /** Closes the connection that is idle for longest, in favour of another machine. */
+  /** Closes the connection that has been idle longest, to free it for another machine. */
   void closeIdleConnection(Duration now) {
     connections
         .longestIdle()
         .ifPresent(
             connection -> {
               close(connection, MachineCloseReason.YIELDED, now);
-              opener.connectionYielded();
+              opener.connectionReclaimed();
             });
   }
 
@@ -383,12 +382,12 @@
         connectionFailed(
             connection, isLocal ? ConnectFailure.LOCAL : ConnectFailure.UNREACHABLE, now);
       } else if (connection.hasHealthCheckTimedOut(timeouts.connectTimeout(), now)) {
-        failProbe(connection, now);
-        releaser.checkTimedOut(connection, now.plus(timeouts.idleTimeout()));
+        failProbes(connection, now);
+        releaser.healthCheckTimedOut(connection, now.plus(timeouts.idleTimeout()));
         connection.retire();
         closeIfRetired(connection);
       } else if (connection.isIdle()) {
-        // One is kept for termination notices; the others are closed once they are unused.
+        // One idle connection is kept for termination notices; others are closed when unused.
         if (idleConnectionKept && connection.isUnusedFor(timeouts.idleTimeout(), now)) {
           close(connection, MachineCloseReason.IDLE, now);
         }
@@ -400,13 +399,14 @@
   private boolean isConnectionNeeded(Duration now) {
     return !isGone()
         && (isNeededForRunningVms(now) || releaser.needsConnection(now))
-        && liveness.isUntriedFor(timeouts.connectTimeout(), now);
+        && liveness.isLastConnectOlderThan(timeouts.connectTimeout(), now);
   }
 
   private boolean isNeededForRunningVms(Duration now) {
     boolean unconnected =
         connections.isEmpty()
-            && (!opener.hasYielded() || liveness.isUntriedFor(MAX_TIME_UNCONNECTED, now));
+            && (!opener.isLastConnectionReclaimed()
+                || liveness.isLastConnectOlderThan(MAX_TIME_UNCONNECTED, now));
     boolean silent =
         liveness.isSilentFor(timeouts.silenceTimeout(), now) && !connections.hasOpening();
     return !runningVms.isEmpty() && (unconnected || silent);
@@ -416,7 +416,7 @@
     return lifecycle == Machine.Lifecycle.GONE;
   }
 
-  /** The process is gone or can't be reached: nothing that it held is waited for. */
+  /** The process has ended or can't be reached: its requests and VMs count as lost. */
   private void machineFailed(MachineFailure failure, Duration now) {
     listener.machineFailed(machine, failure, runningVms.size());
     for (MachineConnection connection : connections.all()) {
@@ -438,11 +438,11 @@
 
   private void withdraw(MachineConnection connection, PlacementRequest request) {
     connection.remove(request.attempt().vm.id);
-    executions.end(request.attempt(), ExecutionEvidence.NOT_ATTEMPTED.outcomeOnFailure());
+    executions.end(request.attempt(), ExecutionEvidence.WITHDRAWN_BEFORE_SEND.outcomeOnFailure());
   }
 
-  /** Sends what waits and may still go: an offer can't be taken back. */
-  private void sendWaiting(MachineConnection connection, Duration now) {
+  /** Sends the queued requests that are still valid; a sent offer can't be taken back. */
+  private void sendPending(MachineConnection connection, Duration now) {
     for (PlacementRequest request : connection.unsentRequests()) {
       if (!connection.isOpen() || !transport.isWritable(connection)) {
         return;
@@ -456,28 +456,28 @@
   }
 
   private void send(MachineConnection connection, PlacementRequest request, Duration now) {
-    connection.used(now);
+    connection.markUsed(now);
     request.markSent();
-    transport.requestPlacement(connection, request.attempt(), request.answerBy().minus(now));
+    transport.requestPlacement(connection, request.attempt(), request.answerDeadline().minus(now));
   }
 
   private void cancelOn(
-      MachineConnection carrier, PlacementAttempt attempt, Outcome outcome, Duration now) {
-    PlacementRequest request = carrier.remove(attempt.vm.id).orElseThrow();
+      MachineConnection connection, PlacementAttempt attempt, Outcome outcome, Duration now) {
+    PlacementRequest request = connection.remove(attempt.vm.id).orElseThrow();
     if (request.isSent()) {
-      transport.cancel(carrier, attempt.vm.id);
-      carrier.markWithdrawn(attempt.vm.id);
-      // Until its withdrawal has gone out the machine may start it.
-      attempt.mayStillRun = !transport.isWritable(carrier);
+      transport.cancel(connection, attempt.vm.id);
+      connection.markWithdrawn(attempt.vm.id);
+      // The machine may start the VM until the withdrawal was passed to the network.
+      attempt.mayStillRun = !transport.isWritable(connection);
       listener.attemptWithdrawn(attempt, !attempt.mayStillRun);
-      releaser.withdrawn(carrier, attempt.vm.id, now);
-      carrier.retire();
+      releaser.withdrawn(connection, attempt.vm.id, now);
+      connection.retire();
     }
-    closeIfRetired(carrier);
+    closeIfRetired(connection);
     executions.end(attempt, request.evidence().outcomeOnCancel(outcome));
   }
 
-  private void failProbe(MachineConnection connection, Duration now) {
+  private void failProbes(MachineConnection connection, Duration now) {
     for (Duration roundTrip : connection.takeProbes(now)) {
       listener.probeCompleted(machine, false, false, roundTrip);
     }
@@ -493,7 +493,7 @@
   private void close(MachineConnection connection, MachineCloseReason reason, Duration now) {
     if (connections.remove(connection)) {
       connection.closed();
-      failProbe(connection, now);
+      failProbes(connection, now);
       transport.close(connection, reason);
     }
   }
--- a/src/main/java/fordridge/machine/MachineFailure.java
+++ b/src/main/java/fordridge/machine/MachineFailure.java
@@ -1,13 +1,15 @@
 package fordridge.machine;
 
-/** From what it was concluded that nothing runs on a machine any more, or that it can't be told. */
+/** Why a machine is considered failed. */
 public enum MachineFailure {
-  /** The machine list says so. */
+  /** The machine list shows the machine as gone. */
   LISTED_GONE,
-  /** The machine list names another machine at its address, as it does once the first is gone. */
+  /**
+   * The machine list names another machine at its address, which happens once the first is gone.
+   */
   ADDRESS_TAKEN,
-  /** Nobody listens at its address: its process is gone. */
+  /** No process listens at its address: its process has ended. */
   REFUSES_CONNECTIONS,
-  /** It is silent and no connection comes up; its VMs may run on. */
+  /** It sends nothing and connection attempts time out; its VMs may still run. */
   UNREACHABLE
 }
--- a/src/main/java/fordridge/machine/MachineStream.java
+++ b/src/main/java/fordridge/machine/MachineStream.java
@@ -11,59 +11,60 @@
 import java.util.stream.Stream;
 
 /**
- * The stream of one scheduler to one machine on the gRPC protocol, and what may be concluded from
- * it about the attempts on that machine. The machine opens each stream with an inventory of the
- * attempts that it knows.
+ * The stream of one scheduler to one machine on the gRPC protocol, and the outcomes of the attempts
+ * on that machine. The first message of the machine on each stream is an inventory of the attempts
+ * that it knows.
  *
- * <p>Free of I/O, threads and clocks: the time is a parameter, and it acts through {@link
- * MachineStreamTransport} and {@link Listener}. Not thread-safe; all methods belong on one event
- * loop.
+ * <p>Free of I/O, threads and clocks: the time is a parameter, and the stream acts through {@link
+ * MachineStreamTransport} and {@link Listener}. Not thread-safe; all methods must be called on one
+ * event loop.
  *
  * <p>What a failure proves ({@link ExecutionEvidence}): an attempt whose offer was not written
- * never ran. One whose offer was written and not answered when the stream broke may have run; if it
- * is not idempotent, the stream has a while to come back, and the inventory then tells. A running
- * VM is lost by the machine's inventory or notice or by the machine list, never because a stream
- * broke: it may well run on behind a broken path.
+ * never ran. One whose offer was written but not answered when the stream broke may have run. If it
+ * is not idempotent, its outcome is deferred until the stream is re-established and the inventory
+ * shows it, or until the resume timeout. A running VM counts as lost by the machine's inventory or
+ * notice or by the machine list, but never because a stream broke: it may still run while only the
+ * network path is broken.
  *
  * <pre>
- * state        wanted      inventory    lost or timed out  pause over          idle
+ * state        needed      inventory    lost or timed out  backoff elapsed     idle
  * CLOSED       CONNECTING  -            -                  -                   -
  * CONNECTING   -           ESTABLISHED  BACKING_OFF        -                   -
  * ESTABLISHED  -           -            BACKING_OFF        -                   CLOSED
  * BACKING_OFF  -           -            -                  CLOSED, CONNECTING  -
  * </pre>
  *
- * <p>Once the machine is listed as gone, a stream that is not established, or breaks, is CLOSED.
+ * <p>Once the machine is listed as gone, a stream is CLOSED if it is not established or breaks.
  */
 public final class MachineStream {
-  /** Where the stream is in its life cycle. */
+  /** The state of the stream. */
   public enum State {
-    /** No stream is wanted. */
+    /** No stream is needed. */
     CLOSED,
     /** The stream is being opened, or the machine has not sent its inventory yet. */
     CONNECTING,
     /** The machine has sent its inventory. */
     ESTABLISHED,
-    /** The last stream failed; the next is opened after a pause. */
+    /** The last stream failed; the next is opened after a backoff delay. */
     BACKING_OFF
   }
 
-  /** Receives what is concluded from the stream to a machine. */
+  /** Receives the events of the stream to a machine. */
   public interface Listener extends AttemptListener {
-    /** The machine accepted the VM or, if {@code running}, has started it. */
+    /** The machine accepted the VM or, if {@code running}, has already started it. */
     void attemptAccepted(PlacementAttempt attempt, boolean running);
 
-    /** The machine runs a VM of an earlier incarnation of this scheduler. */
+    /** The machine runs a VM that an earlier incarnation of this scheduler placed. */
     void unknownVmReported(ReportedVm reportedVm, Machine machine);
 
-    /** A cancelled attempt is now known to hold nothing on its machine any more. */
+    /** A cancelled attempt is now known to use no capacity on its machine any more. */
     void attemptReleased(PlacementAttempt attempt);
 
-    /** The stream broke, or the first attempt to connect failed. */
+    /** An established stream broke, or the first in a series of connection attempts failed. */
     void connectionLost(Machine machine, String reason);
   }
 
-  private static final String CONNECT_TIMED_OUT = "no message from the machine in time";
+  private static final String CONNECT_TIMED_OUT = "no inventory within the connect timeout";
 
   private final Machine machine;
   private final MachineStreamSettings settings;
@@ -77,7 +78,7 @@
   private boolean probeQueued;
   private Duration probeRequestedAt;
   private Optional<Long> incarnation = Optional.empty();
-  private Duration connectBy;
+  private Duration connectDeadline;
   private Duration retryAt;
   private Duration lastUsedAt = Duration.ZERO;
 
@@ -96,17 +97,17 @@
     attempts = new StreamAttempts(machine, settings, transport, listener);
   }
 
-  /** Where the stream is in its life cycle. */
+  /** Returns the state of the stream. */
   public State state() {
     return state;
   }
 
-  /** The attempt of that id, unless the scheduler has cancelled it. */
+  /** Returns the attempt with that id, unless the scheduler has cancelled it. */
   public Optional<PlacementAttempt> findAttempt(AttemptId id) {
     return attempts.find(id).filter(entry -> !entry.isCancelled()).map(StreamAttempt::attempt);
   }
 
-  /** Whether as many offers wait as may, so that a further one would end at once. */
+  /** Whether the offer queue is full, so that a further offer would end at once. */
   public boolean isQueueFull() {
     return attempts.isQueueFull();
   }
@@ -115,25 +116,26 @@
     return attempts.size();
   }
 
-  // Requests of the scheduler
+  // Requests from the scheduler
 
   /**
-   * Offers an attempt as soon as the stream allows, and opens the stream if need be. Ends at once
-   * as {@link Outcome#UNREACHABLE} while the stream backs off, and as {@link Outcome#NOT_SENT} if
-   * too many offers wait.
+   * Offers an attempt as soon as the stream allows, and opens the stream if necessary. The attempt
+   * ends at once as {@link Outcome#UNREACHABLE} while the stream backs off or the machine is gone,
+   * and as {@link Outcome#NOT_SENT} if the offer queue is full.
    *
-   * @param idempotent whether the VM may be placed again without harm, even if it may have run
-   * @param timeLeft time in which the machine has to answer
+   * @param idempotent whether the VM can safely be placed again even if it may have run
+   * @param timeLeft time within which the machine has to answer
    */
   public void offer(
       PlacementAttempt attempt, AttemptId id, boolean idempotent, Duration timeLeft, Duration now) {
     lastUsedAt = now;
     if (!isReachable()) {
-      // The last stream failed a moment ago: known not to have run, and cheaper than to connect.
+      // The last stream has just failed: ending the attempt is cheaper than another connect, and
+      // it is known not to have run.
       Outcome outcome = ExecutionEvidence.NEVER_SENT.outcomeOnFailure();
       listener.attemptEnded(attempt, outcome, OutcomeReason.UNSPECIFIED);
     } else if (attempts.isQueueFull()) {
-      // Our own limit: it says nothing of the machine.
+      // The limit is the scheduler's own: it says nothing about the machine.
       listener.attemptEnded(attempt, Outcome.NOT_SENT, OutcomeReason.UNSPECIFIED);
     } else {
       attempts.enqueue(StreamAttempt.queued(id, attempt, idempotent, now.plus(timeLeft)));
@@ -143,7 +145,7 @@
   }
 
   /**
-   * The scheduler waits for the attempt no longer. Its outcome is the caller's to record.
+   * Cancels an attempt that the scheduler no longer waits for. The caller records its outcome.
    *
    * @return whether the machine was never offered the attempt
    */
@@ -151,7 +153,7 @@
     return attempts.cancel(attempt, state == State.ESTABLISHED);
   }
 
-  /** Terminates a running VM, if the stream is established; the machine confirms. */
+  /** Requests the termination of a running VM if the stream is established. */
   public void terminate(PlacementAttempt attempt, Duration now) {
     if (state == State.ESTABLISHED) {
       attempts.terminate(attempt);
@@ -159,7 +161,7 @@
     lastUsedAt = now;
   }
 
-  /** Starts a health check; it fails at once while the stream backs off. */
+  /** Starts a health check; it fails at once while the stream backs off or the machine is gone. */
   public void probe(Duration now) {
     lastUsedAt = now;
     if (!isReachable()) {
@@ -172,7 +174,7 @@
     writeQueued(now);
   }
 
-  /** Opens a stream for the sake of the machine's inventory, as after the scheduler's start. */
+  /** Opens a stream to obtain the machine's inventory, as after the scheduler's start. */
   public void reconcile(Duration now) {
     inventoryWanted = true;
     lastUsedAt = now;
@@ -181,19 +183,19 @@
     }
   }
 
-  /** Takes over a VM that an earlier incarnation of the scheduler started. */
+  /** Adopts a VM that an earlier incarnation of the scheduler placed. */
   public void adopt(AttemptId id, PlacementAttempt attempt) {
     attempts.adopt(StreamAttempt.adopted(id, attempt));
   }
 
   // Events of the machine list
 
-  /** The machine takes no new VMs: what was not offered yet is withdrawn. */
+  /** The machine accepts no new VMs: attempts not offered yet are withdrawn. */
   public void machineDraining() {
     attempts.withdrawQueued();
   }
 
-  /** The machine list has the machine, or has it no more. */
+  /** The machine list shows the machine, or shows it as gone. */
   public void machineListed(boolean isGone, Duration now) {
     if (isGone == gone) {
       return;
@@ -211,7 +213,7 @@
 
   // Events of the stream
 
-  /** The machine's first message on a stream: the attempts of this scheduler that it knows. */
+  /** The machine's first message on a stream: this scheduler's attempts that it knows. */
   public void inventoryReceived(
       long machineIncarnation, Collection<ReportedVm> inventory, Duration now) {
     if (state != State.CONNECTING) {
@@ -229,7 +231,7 @@
     writeQueued(now);
   }
 
-  /** The stream broke, could not be opened, or received what violates the protocol. */
+  /** The stream broke, could not be opened, or received a message that violates the protocol. */
   public void connectionLost(String reason, Duration now) {
     if (state != State.CONNECTING && state != State.ESTABLISHED) {
       return;
@@ -257,7 +259,7 @@
     attempts.vmStarted(id);
   }
 
-  /** The machine rejected the VM: it never ran, unless the machine had accepted it before. */
+  /** The machine rejected the VM: it never ran, unless the machine had accepted it earlier. */
   public void attemptRejected(AttemptId id, OutcomeReason reason, Duration now) {
     attempts.attemptRejected(id, reason);
     lastUsedAt = now;
@@ -280,14 +282,14 @@
 
   // Time
 
-  /** When {@link #tick} has to be called next; empty if nothing has a deadline. */
+  /** Returns when {@link #tick} has to be called next; empty if there is no deadline. */
   public Optional<Duration> nextDeadline() {
     return Stream.of(attempts.nextConfirmationDeadline(), probeDeadline(), stateDeadline())
         .flatMap(Optional::stream)
         .min(Duration::compareTo);
   }
 
-  /** Applies the timeouts that are due. */
+  /** Applies the timeouts that have expired. */
   public void tick(Duration now) {
     attempts.cancelUnconfirmed(now);
     if (isDue(probeDeadline(), now)) {
@@ -298,7 +300,7 @@
     }
     switch (state) {
       case CONNECTING -> connectTimedOut(now);
-      case BACKING_OFF -> pauseOver(now);
+      case BACKING_OFF -> backoffElapsed(now);
       case ESTABLISHED -> closeIdle();
       case CLOSED -> {}
     }
@@ -310,7 +312,7 @@
 
   private Optional<Duration> stateDeadline() {
     return switch (state) {
-      case CONNECTING -> Optional.of(connectBy);
+      case CONNECTING -> Optional.of(connectDeadline);
       case BACKING_OFF -> Optional.of(retryAt);
       case ESTABLISHED ->
           attempts.isEmpty()
@@ -329,7 +331,7 @@
   private void connectIfClosed(Duration now) {
     if (state == State.CLOSED) {
       state = State.CONNECTING;
-      connectBy = now.plus(settings.connectTimeout());
+      connectDeadline = now.plus(settings.connectTimeout());
       transport.connect();
     }
   }
@@ -343,7 +345,7 @@
 
   private void backOff(Duration now) {
     state = State.BACKING_OFF;
-    retryAt = now.plus(backoff.nextPause());
+    retryAt = now.plus(backoff.nextDelay());
   }
 
   private void connectTimedOut(Duration now) {
@@ -351,7 +353,7 @@
     connectionLost(CONNECT_TIMED_OUT, now);
   }
 
-  private void pauseOver(Duration now) {
+  private void backoffElapsed(Duration now) {
     state = State.CLOSED;
     if ((inventoryWanted || !attempts.isEmpty()) && !gone) {
       connectIfClosed(now);
@@ -375,7 +377,7 @@
     state = State.CLOSED;
   }
 
-  // Private steps
+  // Helpers
 
   private boolean isReachable() {
     return state != State.BACKING_OFF && !gone;
--- a/src/main/java/fordridge/machine/MachineStreamSettings.java
+++ b/src/main/java/fordridge/machine/MachineStreamSettings.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * How the streams to machines are opened, kept and given up.
+ * Timeouts and limits of the streams to machines.
  *
- * @param connectTimeout bound on the time from opening a stream to the machine's inventory
- * @param idleTimeout how long a stream without attempts is kept
- * @param minBackoff bound on the pause after the first failure
- * @param maxBackoff bound on the pause after any failure
- * @param resumeTimeout how long a broken stream has to come back before a non-idempotent attempt
- *     that it carried is given up
- * @param probeTimeout bound on the time in which a health check is answered
- * @param maxQueuedOffers offers that may wait for the stream
- * @param acceptanceIsFinal whether an attempt counts as accepted once the machine has queued it,
- *     and not only when the VM has started
+ * @param connectTimeout maximum time from opening a stream to receiving the machine's inventory
+ * @param idleTimeout how long a stream without attempts is kept open
+ * @param minBackoff maximum backoff delay after the first failure
+ * @param maxBackoff maximum backoff delay after any number of failures
+ * @param resumeTimeout how long after a stream broke a non-idempotent attempt that it carried waits
+ *     for the next stream before it is given up
+ * @param probeTimeout maximum time in which a health check is answered
+ * @param maxQueuedOffers maximum number of offers that are queued for a stream
+ * @param acceptanceIsFinal whether an attempt counts as accepted as soon as the machine has queued
+ *     it; otherwise it counts as accepted when the VM has started
  */
 public record MachineStreamSettings(
     Duration connectTimeout,
--- a/src/main/java/fordridge/machine/MachineStreamTransport.java
+++ b/src/main/java/fordridge/machine/MachineStreamTransport.java
@@ -3,21 +3,21 @@
 import fordridge.model.PlacementAttempt;
 import java.time.Duration;
 
-/** Output port of a {@link MachineStream}: what it may do with the stream to its machine. */
+/** Output port of a {@link MachineStream}: the operations on the stream to its machine. */
 public interface MachineStreamTransport {
   /** Starts to connect; the outcome is reported to the {@link MachineStream} later. */
   void connect();
 
-  /** Closes the stream; nothing more is reported of it. */
+  /** Closes the stream; no further events of it are reported. */
   void close(String reason);
 
-  /** Whether a message would be written now rather than be queued by the transport. */
+  /** Whether a message would be written at once rather than queued by the transport. */
   boolean isReady();
 
-  /** Offers a VM that the machine has to answer for within {@code timeLeft}. */
+  /** Offers a VM; the machine has to answer within {@code timeLeft}. */
   void offer(PlacementAttempt attempt, AttemptId attemptId, Duration timeLeft);
 
-  /** Withdraws an attempt, whatever became of it on the machine. */
+  /** Cancels an attempt, whatever its state on the machine. */
   void cancel(AttemptId attemptId);
 
   /** Asks the machine to terminate a running VM. */
--- a/src/main/java/fordridge/machine/MachineTransport.java
+++ b/src/main/java/fordridge/machine/MachineTransport.java
@@ -3,40 +3,43 @@
 import fordridge.model.PlacementAttempt;
 import java.time.Duration;
 
-/** Output port of a {@link MachineConnectionPool}: what it may do with connections to a machine. */
+/** Output port of a {@link MachineConnectionPool}: the operations on connections to a machine. */
 public interface MachineTransport {
-  /** Whether the address is known and the process may open one more connection. */
+  /** Whether the machine's address is known and the connection limit allows one more. */
   boolean canOpen();
 
   /** Starts to connect; the outcome is reported to the pool later. */
   void open(MachineConnection connection);
 
-  /** Whether the connection is up, which the pool may not have been told yet. */
+  /** Whether the connection is established; the pool may not have received that event yet. */
   boolean isConnected(MachineConnection connection);
 
   /**
-   * Whether the next byte that is written goes out at once. If not, the pool is told once it does.
+   * Whether output written now is passed to the network at once. If not, {@link
+   * MachineConnectionPool#connectionWritable} is called when it would be.
    */
   boolean isWritable(MachineConnection connection);
 
-  /** Whether a connection that did not come up yet was kept from it on the scheduler's own host. */
+  /**
+   * Whether a connection is not established yet because of an error on the scheduler's own host.
+   */
   boolean failedLocally(MachineConnection connection);
 
-  /** Closes the connection; nothing more is reported of it as a connection. */
+  /** Closes the connection; no further events of the connection are reported. */
   void close(MachineConnection connection, MachineCloseReason reason);
 
-  /** Sends a placement request that the machine has to answer within {@code timeLeft}. */
+  /** Sends a placement request; the machine has to answer within {@code timeLeft}. */
   void requestPlacement(MachineConnection connection, PlacementAttempt attempt, Duration timeLeft);
 
-  /** Withdraws a placement request that has no answer yet. */
+  /** Withdraws an unanswered placement request. */
   void cancel(MachineConnection connection, String vmId);
 
   /** Asks the machine to terminate a running VM. */
   void terminate(MachineConnection connection, String vmId);
 
-  /** Sends a health check that asks for a load report. */
+  /** Sends a health check that requests a load report. */
   void probe(MachineConnection connection);
 
-  /** Sends a health check that asks for nothing but an answer. */
+  /** Sends a health check that requests only an answer. */
   void ping(MachineConnection connection);
 }
--- a/src/main/java/fordridge/machine/OfferAllowance.java
+++ b/src/main/java/fordridge/machine/OfferAllowance.java
@@ -1,37 +1,37 @@
 package fordridge.machine;
 
 /**
- * How many more connections may carry placement requests, over all machines, and how many more may
- * be opened for them: the others are left for hearing of the VMs that run. {@link ConnectionBudget}
- * sets both anew at each tick. Not thread-safe.
+ * Limits, over all machines, how many further connections may carry placement requests and how many
+ * may be opened for them. The other connections are reserved for monitoring machines with VMs.
+ * {@link ConnectionBudget} resets both limits at each tick. Not thread-safe.
  */
 public final class OfferAllowance {
-  private int carriers = Integer.MAX_VALUE;
-  private int opens = Integer.MAX_VALUE;
+  private int remainingBusy = Integer.MAX_VALUE;
+  private int remainingOpens = Integer.MAX_VALUE;
 
-  /** So many more from now on, until the next call. */
-  void set(int newCarriers, int newOpens) {
-    carriers = newCarriers;
-    opens = newOpens;
+  /** Sets how many further connections may become busy and be opened until the next call. */
+  void set(int maxBusy, int maxOpens) {
+    remainingBusy = maxBusy;
+    remainingOpens = maxOpens;
   }
 
-  /** Whether no connection that carries none may get a placement request. */
+  /** Whether no further connection may carry placement requests. */
   boolean isExhausted() {
-    return carriers <= 0;
+    return remainingBusy <= 0;
   }
 
   /** Whether a connection may be opened for a placement request. */
   boolean mayOpen() {
-    return carriers > 0 && opens > 0;
+    return remainingBusy > 0 && remainingOpens > 0;
   }
 
-  /** A connection that carried none gets a placement request. */
-  void carrierTaken() {
-    carriers--;
+  /** A connection without placement requests is given one. */
+  void connectionBecameBusy() {
+    remainingBusy--;
   }
 
   /** A connection was opened for a placement request. */
-  void opened() {
-    opens--;
+  void connectionOpened() {
+    remainingOpens--;
   }
 }
--- a/src/main/java/fordridge/machine/UnownedVmReleaser.java
+++ b/src/main/java/fordridge/machine/OrphanedVmReleaser.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * Has a machine release the VMs that may run there and that nobody owns, see {@link
- * UnsettledAttempts}: on any open connection, with a health check behind each batch, whose answer
- * proves that it was read. Not thread-safe.
+ * Requests a machine to release orphaned VMs: those that may run there although their attempts were
+ * given up, see {@link UnsettledAttempts}. Releases are sent in batches on any open connection,
+ * each batch followed by a health check whose answer proves that the machine has read it. Not
+ * thread-safe.
  */
-final class UnownedVmReleaser {
+final class OrphanedVmReleaser {
   private final Machine machine;
   private final VmExecutions executions;
   private final UnsettledAttempts unsettled;
@@ -17,10 +18,13 @@
   private final MachineTransport transport;
   private final MachineConnectionListener listener;
 
-  /** The machine can't be reached, or has not answered behind a release. */
+  /**
+   * Earliest time for the next release; set after the machine was unreachable or has not answered a
+   * health check.
+   */
   private Duration notBefore = Duration.ZERO;
 
-  UnownedVmReleaser(
+  OrphanedVmReleaser(
       Machine machine,
       VmExecutions executions,
       ConnectionSet connections,
@@ -37,11 +41,11 @@
   /** The withdrawal of an attempt was written to the connection. */
   void withdrawn(MachineConnection connection, String vmId, Duration now) {
     unsettled.add(vmId, UnsettledReason.WITHDRAWN, now);
-    writtenTo(connection, List.of(vmId), now);
+    sendHealthCheck(connection, List.of(vmId), now);
   }
 
-  /** Writes what is to be released, where that can be done now. */
-  void releaseWhereDue(Duration now) {
+  /** Sends the pending releases if they are due and a connection is writable. */
+  void releaseIfDue(Duration now) {
     if (isDue(now)) {
       connections
           .newestOpen()
@@ -62,27 +66,27 @@
       transport.terminate(connection, vmId);
       listener.releaseSent(vmId, machine);
     }
-    writtenTo(connection, vmIds, now);
+    sendHealthCheck(connection, vmIds, now);
   }
 
-  private void writtenTo(MachineConnection connection, List<String> vmIds, Duration now) {
-    long checkNumber = connection.pingSent(now);
+  private void sendHealthCheck(MachineConnection connection, List<String> vmIds, Duration now) {
+    long healthCheckNumber = connection.pingSent(now);
     transport.ping(connection);
-    vmIds.forEach(vmId -> unsettled.released(vmId, connection, checkNumber));
+    vmIds.forEach(vmId -> unsettled.released(vmId, connection, healthCheckNumber));
   }
 
   /** A health check on the connection was not answered in time. */
-  void checkTimedOut(MachineConnection connection, Duration nextNotBefore) {
-    unsettled.connectionEnded(connection);
-    waitUntil(nextNotBefore);
+  void healthCheckTimedOut(MachineConnection connection, Duration releaseNotBefore) {
+    unsettled.connectionClosed(connection);
+    waitUntil(releaseNotBefore);
   }
 
-  /** Nothing is to be released before that time. */
-  void waitUntil(Duration nextNotBefore) {
-    notBefore = nextNotBefore;
+  /** Defers releases until that time. */
+  void waitUntil(Duration releaseNotBefore) {
+    notBefore = releaseNotBefore;
   }
 
-  /** Whether a connection is to be opened for it. */
+  /** Whether a connection has to be opened to send pending releases. */
   boolean needsConnection(Duration now) {
     return isDue(now) && connections.newestOpen().isEmpty() && !connections.hasOpening();
   }
--- a/src/main/java/fordridge/machine/PlacementRequest.java
+++ b/src/main/java/fordridge/machine/PlacementRequest.java
@@ -3,16 +3,16 @@
 import fordridge.model.PlacementAttempt;
 import java.time.Duration;
 
-/** A placement request that has no answer yet. */
+/** A placement request that is not answered yet. */
 final class PlacementRequest {
   private final PlacementAttempt attempt;
-  private final Duration answerBy;
+  private final Duration answerDeadline;
   private boolean sent;
   private boolean reportedRunning;
 
-  PlacementRequest(PlacementAttempt attempt, Duration answerBy) {
+  PlacementRequest(PlacementAttempt attempt, Duration answerDeadline) {
     this.attempt = attempt;
-    this.answerBy = answerBy;
+    this.answerDeadline = answerDeadline;
   }
 
   PlacementAttempt attempt() {
@@ -20,8 +20,8 @@
   }
 
   /** The time by which the machine has to answer. */
-  Duration answerBy() {
-    return answerBy;
+  Duration answerDeadline() {
+    return answerDeadline;
   }
 
   /** Whether its first byte was written. */
@@ -33,7 +33,7 @@
     sent = true;
   }
 
-  /** What is known of its execution while it has no answer. */
+  /** What is known about its execution while it is unanswered. */
   ExecutionEvidence evidence() {
     if (!sent) {
       return ExecutionEvidence.NEVER_SENT;
@@ -41,12 +41,15 @@
     return reportedRunning ? ExecutionEvidence.RUNNING : ExecutionEvidence.MAY_HAVE_RUN;
   }
 
-  /** Whether the VM is known to run although its answer is still outstanding. */
+  /** Whether the VM is known to run although the request is still unanswered. */
   boolean isKnownToRun() {
     return evidence() == ExecutionEvidence.RUNNING;
   }
 
-  /** Whether an earlier attempt of the VM on the same machine ended without the machine's word. */
+  /**
+   * Whether an earlier attempt of the VM on the same machine ended without a message of the
+   * machine, so that its VM may still run.
+   */
   boolean hasUnsettledPredecessor() {
     return attempt.vm.attempts.stream()
         .anyMatch(
@@ -56,7 +59,7 @@
                     && earlier.mayStillRun);
   }
 
-  /** The machine has sent something that it sends only for a VM that runs. */
+  /** Records that the machine has sent a message that it sends only for a running VM. */
   void markReportedRunning() {
     reportedRunning = true;
   }
--- a/src/main/java/fordridge/machine/ReconnectPacer.java
+++ b/src/main/java/fordridge/machine/ReconnectPacer.java
@@ -7,19 +7,21 @@
 import java.util.Set;
 
 /**
- * Paces the reconciliation after a scheduler's start, and knows when it is complete: when every
- * machine of the first machine list has sent its inventory, or is listed as gone. Until then a VM
- * that was requested from an earlier incarnation of this scheduler may run on a machine that has
- * not said so; a machine that can't be reached is not reconciled.
+ * Limits how many machines are connected to at a time for the reconciliation after a scheduler's
+ * start, and tracks when that is complete: when every machine of the first machine list has sent
+ * its inventory or is listed as gone. Until then a VM that was requested from an earlier
+ * incarnation of this scheduler may run on a machine that has not reported it yet. A machine that
+ * can't be reached is not reconciled.
  *
- * <p>A few machines are connected to at once, and the next when one of these has sent its inventory
- * or failed, however many there are. To open a stream costs the event loop a millisecond or two,
- * and thousands due at the same time would delay every VM behind them. Not thread-safe.
+ * <p>A few machines are connected to concurrently, regardless of their total number; the next one
+ * follows when one of them has sent its inventory or failed. Opening a stream takes 1 to 2 ms of
+ * the event loop, and thousands opened at the same time would delay all placements queued behind
+ * them. Not thread-safe.
  *
  * @param <M> identifies a machine
  */
 public final class ReconnectPacer<M> {
-  /** Machines that are connected to and have not answered: some 10 ms of the event loop's time. */
+  /** Maximum number of machines being connected to, which take about 10 ms of the event loop. */
   private static final int MAX_CONCURRENT = 8;
 
   private final Set<M> unreconciled = new HashSet<>();
@@ -27,7 +29,7 @@
   private final Set<M> connecting = new HashSet<>();
   private boolean started;
 
-  /** The first machine list has come; false for later calls, which are ignored. */
+  /** The first machine list was received; returns false on later calls, which are ignored. */
   public boolean start(Set<? extends M> machines) {
     if (started) {
       return false;
@@ -37,12 +39,12 @@
     return true;
   }
 
-  /** The machine is to be connected to when its turn comes. */
+  /** Queues the machine to be connected to. */
   public void schedule(M machine) {
     scheduled.add(machine);
   }
 
-  /** The next machine to connect to; empty while enough are under way or none is scheduled. */
+  /** Returns the next machine to connect to; empty at the limit or if none is queued. */
   public Optional<M> next() {
     Iterator<M> first = scheduled.iterator();
     if (connecting.size() >= MAX_CONCURRENT || !first.hasNext()) {
@@ -55,21 +57,21 @@
   }
 
   /**
-   * The machine's stream broke or did not come up in time: it makes way for others while its {@link
-   * MachineStream} goes on trying.
+   * The machine's stream broke or timed out: the machine no longer counts toward the limit, while
+   * its {@link MachineStream} continues to retry.
    */
   public void connectionFailed(M machine) {
     connecting.remove(machine);
   }
 
-  /** The machine has sent its inventory, or is gone. */
+  /** The machine has sent its inventory or is gone. */
   public void reconciled(M machine) {
     unreconciled.remove(machine);
     scheduled.remove(machine);
     connecting.remove(machine);
   }
 
-  /** Whether all VMs of earlier incarnations are known. */
+  /** Whether all VMs of earlier incarnations of this scheduler are known. */
   public boolean isComplete() {
     return started && unreconciled.isEmpty();
   }
--- a/src/main/java/fordridge/machine/ReportedVm.java
+++ b/src/main/java/fordridge/machine/ReportedVm.java
@@ -10,14 +10,14 @@
     double cores,
     double memory,
     String client) {
-  /** What the machine did with the attempt so far. */
+  /** The state of the attempt on the machine. */
   public enum State {
-    /** Accepted, and waiting for capacity on the machine. */
+    /** The machine accepted the attempt; it is queued for capacity there. */
     QUEUED,
     RUNNING,
-    /** It ran and is over. */
+    /** The VM ran and has ended. */
     ENDED,
-    /** It never ran. */
+    /** The machine rejected the attempt; the VM never ran. */
     REJECTED
   }
 }
--- a/src/main/java/fordridge/machine/RunningVms.java
+++ b/src/main/java/fordridge/machine/RunningVms.java
@@ -10,15 +10,15 @@
 import java.util.Set;
 
 /**
- * The VMs that run on one machine, by id, and which of them are being terminated. Bound to no
- * connection; not thread-safe.
+ * The VMs that run on one machine, by id, and which of them are being terminated. They are not
+ * bound to a connection. Not thread-safe.
  */
 final class RunningVms {
   private final Map<String, PlacementAttempt> attempts = new HashMap<>();
 
   private final UnclaimedTerminations unclaimedTerminations = new UnclaimedTerminations();
 
-  /** By VM id, the time by which the machine has to confirm a termination. */
+  /** The time by which the machine has to confirm a termination, by VM id. */
   private final Map<String, Duration> terminationDeadlines = new HashMap<>();
 
   int size() {
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Takes over a VM that runs since before the scheduler's start. The result is the machine's
-   * notice of its end, if that came before.
+   * Adopts a VM that was started before the scheduler. Returns the machine's termination notice for
+   * it if that arrived earlier.
    */
   Optional<VmTermination> adopt(PlacementAttempt attempt, Duration now) {
     terminationDeadlines.remove(attempt.vm.id);
@@ -51,7 +51,7 @@
     return unclaimedTerminations.take(attempt.vm.id, now);
   }
 
-  /** Removes the VM that a notice is about; a notice of an unknown VM is kept for its adoption. */
+  /** Removes the VM of a termination notice; keeps the notice for adoption if it is unknown. */
   Optional<PlacementAttempt> terminated(VmTermination termination, Duration now) {
     Optional<PlacementAttempt> attempt = remove(termination.vmId());
     if (attempt.isEmpty()) {
@@ -60,13 +60,13 @@
     return attempt;
   }
 
-  /** Whether the end of a VM that is not known to run here was notified and is kept. */
-  boolean isEndKept(String vmId, Duration now) {
+  /** Whether a termination notice for a VM that is not known to run here is kept. */
+  boolean hasUnclaimedTermination(String vmId, Duration now) {
     return unclaimedTerminations.contains(vmId, now);
   }
 
-  /** Ends of unknown VMs that gave way to later ones since the start. */
-  long displacedEndCount() {
+  /** Number of notices for unknown VMs that were displaced by later ones since the start. */
+  long displacedTerminationCount() {
     return unclaimedTerminations.displacedCount();
   }
 
@@ -75,28 +75,30 @@
     return terminationDeadlines.containsKey(vmId);
   }
 
-  /** Removes a VM, and its termination if it is being terminated. */
+  /** Removes a VM, and its confirmation deadline if it is being terminated. */
   Optional<PlacementAttempt> remove(String vmId) {
     terminationDeadlines.remove(vmId);
     return Optional.ofNullable(attempts.remove(vmId));
   }
 
-  /** Records that the VM is to be terminated; false if it is already, or does not run here. */
-  boolean startTermination(PlacementAttempt attempt, Duration confirmBy) {
+  /**
+   * Records that the VM is being terminated; returns false if it already is, or does not run here.
+   */
+  boolean startTermination(PlacementAttempt attempt, Duration confirmationDeadline) {
     String vmId = attempt.vm.id;
     if (attempts.get(vmId) != attempt || terminationDeadlines.containsKey(vmId)) {
       return false;
     }
-    terminationDeadlines.put(vmId, confirmBy);
+    terminationDeadlines.put(vmId, confirmationDeadline);
     return true;
   }
 
-  /** Ids of the VMs whose termination the machine has not confirmed yet. */
+  /** Returns the ids of the VMs whose termination the machine has not confirmed yet. */
   Set<String> terminating() {
     return terminationDeadlines.keySet();
   }
 
-  /** Removes the VMs whose termination was not confirmed in time. */
+  /** Removes and returns the VMs whose termination was not confirmed in time. */
   List<PlacementAttempt> takeUnconfirmed(Duration now) {
     List<PlacementAttempt> unconfirmed = new ArrayList<>();
     for (Map.Entry<String, Duration> deadline : List.copyOf(terminationDeadlines.entrySet())) {
--- a/src/main/java/fordridge/machine/StreamAttempt.java
+++ b/src/main/java/fordridge/machine/StreamAttempt.java
@@ -4,20 +4,20 @@
 import java.time.Duration;
 
 /**
- * An attempt on a machine's stream, from its offer until the machine is known to be done with it.
+ * An attempt on a machine's stream, from its offer until it is known to have ended on the machine.
  */
 final class StreamAttempt {
-  /** How far the attempt has come, and what that proves of its execution. */
+  /** The stage of the attempt, and what it proves about the VM's execution. */
   enum Stage {
-    /** Waits for the stream. */
+    /** Queued until the stream can take it. */
     QUEUED(ExecutionEvidence.NEVER_SENT),
-    /** The offer was written; no answer yet. */
+    /** The offer was written and is unanswered. */
     SENT(ExecutionEvidence.MAY_HAVE_RUN),
-    /** The stream broke before the answer; it has a while to come back and tell. */
+    /** The stream broke before the answer; the next stream's inventory may confirm the attempt. */
     UNCONFIRMED(ExecutionEvidence.MAY_HAVE_RUN),
     /** The machine has accepted or started the VM. */
     ACCEPTED(ExecutionEvidence.RUNNING),
-    /** It has ended for the scheduler; the machine may still hold it. */
+    /** The attempt has ended for the scheduler; the machine may still run or queue it. */
     CANCELLED(ExecutionEvidence.MAY_HAVE_RUN);
 
     private final ExecutionEvidence evidence;
@@ -34,26 +34,30 @@
   private final AttemptId id;
   private final PlacementAttempt attempt;
   private final boolean idempotent;
-  private final Duration answerBy;
+  private final Duration answerDeadline;
   private Stage stage;
-  private Duration confirmBy;
+  private Duration confirmationDeadline;
 
   private StreamAttempt(
-      AttemptId id, PlacementAttempt attempt, boolean idempotent, Duration answerBy, Stage stage) {
+      AttemptId id,
+      PlacementAttempt attempt,
+      boolean idempotent,
+      Duration answerDeadline,
+      Stage stage) {
     this.id = id;
     this.attempt = attempt;
     this.idempotent = idempotent;
-    this.answerBy = answerBy;
+    this.answerDeadline = answerDeadline;
     this.stage = stage;
   }
 
-  /** An attempt to be offered, which the machine has to answer by the given time. */
+  /** Creates an attempt to be offered, which the machine has to answer by the given time. */
   static StreamAttempt queued(
-      AttemptId id, PlacementAttempt attempt, boolean idempotent, Duration answerBy) {
-    return new StreamAttempt(id, attempt, idempotent, answerBy, Stage.QUEUED);
+      AttemptId id, PlacementAttempt attempt, boolean idempotent, Duration answerDeadline) {
+    return new StreamAttempt(id, attempt, idempotent, answerDeadline, Stage.QUEUED);
   }
 
-  /** An attempt of an earlier incarnation of the scheduler, which runs on the machine. */
+  /** Creates an attempt of an earlier incarnation of the scheduler whose VM runs on the machine. */
   static StreamAttempt adopted(AttemptId id, PlacementAttempt attempt) {
     return new StreamAttempt(id, attempt, false, Duration.ZERO, Stage.ACCEPTED);
   }
@@ -66,14 +70,14 @@
     return attempt;
   }
 
-  /** Whether the VM may be placed again without harm, even if it may have run. */
+  /** Whether the VM can safely be placed again even if it may have run. */
   boolean isIdempotent() {
     return idempotent;
   }
 
   /** The time by which the machine has to answer the offer. */
-  Duration answerBy() {
-    return answerBy;
+  Duration answerDeadline() {
+    return answerDeadline;
   }
 
   Stage stage() {
@@ -85,12 +89,12 @@
   }
 
   /** The time by which an unconfirmed attempt has to be confirmed. */
-  Duration confirmBy() {
-    return confirmBy;
+  Duration confirmationDeadline() {
+    return confirmationDeadline;
   }
 
   boolean isConfirmationOverdue(Duration now) {
-    return stage == Stage.UNCONFIRMED && now.compareTo(confirmBy) >= 0;
+    return stage == Stage.UNCONFIRMED && now.compareTo(confirmationDeadline) >= 0;
   }
 
   void sent() {
@@ -99,7 +103,7 @@
 
   void unconfirmed(Duration deadline) {
     stage = Stage.UNCONFIRMED;
-    confirmBy = deadline;
+    confirmationDeadline = deadline;
   }
 
   void accepted() {
--- a/src/main/java/fordridge/machine/StreamAttempts.java
+++ b/src/main/java/fordridge/machine/StreamAttempts.java
@@ -17,9 +17,9 @@
 import java.util.Set;
 
 /**
- * The attempts on one machine's stream: which wait to be offered, and what the machine's messages,
- * its inventory and a broken stream mean for each. It knows nothing of how the stream is opened and
- * kept; that is {@link MachineStream}, its only user.
+ * The attempts on one machine's stream. Keeps the queue of attempts to be offered, and applies the
+ * machine's messages, its inventory and the loss of the stream to each attempt. Its only user,
+ * {@link MachineStream}, opens and closes the stream.
  */
 final class StreamAttempts {
   private final Machine machine;
@@ -60,7 +60,7 @@
     return attemptsById.values().stream().filter(entry -> entry.attempt() == attempt).findFirst();
   }
 
-  // Requests of the scheduler
+  // Requests from the scheduler
 
   void enqueue(StreamAttempt entry) {
     attemptsById.put(entry.id(), entry);
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Offers what waits, as far as the transport takes it; the stream is established. What was
-   * decided earlier is confirmed at this instant: an offer can't be taken back.
+   * Offers the queued attempts for as long as the transport accepts output; the stream is
+   * established. Each is confirmed immediately before, as an offer can't be taken back.
    */
   void writeQueued(Duration now) {
     while (!queue.isEmpty() && transport.isReady()) {
@@ -85,13 +85,13 @@
       }
       queue.removeFirst();
       entry.sent();
-      Duration timeLeft = entry.answerBy().minus(now);
+      Duration timeLeft = entry.answerDeadline().minus(now);
       transport.offer(
           entry.attempt(), entry.id(), timeLeft.isNegative() ? Duration.ZERO : timeLeft);
     }
   }
 
-  /** Withdraws what was not offered yet. */
+  /** Withdraws the attempts that were not offered yet. */
   void withdrawQueued() {
     for (StreamAttempt entry : List.copyOf(queue)) {
       remove(entry);
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Cancels an attempt; its outcome is the caller's to record.
+   * Cancels an attempt. The caller records its outcome.
    *
    * @return whether the machine was never offered the attempt
    */
@@ -127,7 +127,7 @@
     find(attempt).ifPresent(entry -> transport.terminate(entry.id()));
   }
 
-  // Messages of the machine
+  // Messages from the machine
 
   void attemptAccepted(AttemptId id) {
     find(id)
@@ -155,7 +155,7 @@
   /**
    * Compares the machine's inventory with the attempts known here.
    *
-   * @param restarted whether the machine has started anew since its last inventory
+   * @param restarted whether the machine has restarted since its last inventory
    */
   void reconcile(Collection<ReportedVm> inventory, boolean restarted) {
     Set<AttemptId> reportedIds = new HashSet<>();
@@ -186,7 +186,7 @@
     if (reportedVm.state() == ReportedVm.State.RUNNING) {
       listener.unknownVmReported(reportedVm, machine);
     } else if (reportedVm.state() == ReportedVm.State.QUEUED) {
-      // Offered by an earlier incarnation of this scheduler: nobody waits for it.
+      // Offered by an earlier incarnation of this scheduler: no request waits for it.
       transport.cancel(reportedVm.attemptId());
     }
   }
@@ -215,8 +215,9 @@
   }
 
   /**
-   * The inventory lacks an attempt that was offered. A machine remembers what it took in since its
-   * start: the offer of an unanswered one never reached it, unless it started anew.
+   * Ends an attempt that was offered but is missing from the inventory. A machine keeps all
+   * attempts that it received since its start, so an unanswered offer never reached it unless it
+   * restarted.
    */
   private void endUnreported(StreamAttempt entry, boolean restarted) {
     if (entry.isCancelled()) {
@@ -229,7 +230,7 @@
 
   // Failures
 
-  /** The stream broke; what that means for an attempt depends on how far it had come. */
+  /** The stream broke; the effect on each attempt depends on its stage. */
   void connectionLost(Duration now) {
     for (StreamAttempt entry : List.copyOf(attemptsById.values())) {
       switch (entry.stage()) {
@@ -237,24 +238,27 @@
           remove(entry);
           end(entry, ExecutionEvidence.NEVER_SENT.outcomeOnFailure());
         }
-        case SENT -> sentWhenConnectionLost(entry, now);
+        case SENT -> unansweredWhenConnectionLost(entry, now);
         case UNCONFIRMED, ACCEPTED, CANCELLED -> {}
       }
     }
   }
 
-  private void sentWhenConnectionLost(StreamAttempt entry, Duration now) {
+  private void unansweredWhenConnectionLost(StreamAttempt entry, Duration now) {
     if (entry.isIdempotent()) {
       entry.cancelled();
       entry.attempt().mayStillRun = true;
       end(entry, ExecutionEvidence.MAY_HAVE_RUN.outcomeOnFailure());
     } else {
-      Duration resumeBy = now.plus(settings.resumeTimeout());
-      entry.unconfirmed(entry.answerBy().compareTo(resumeBy) < 0 ? entry.answerBy() : resumeBy);
+      Duration resumeDeadline = now.plus(settings.resumeTimeout());
+      entry.unconfirmed(
+          entry.answerDeadline().compareTo(resumeDeadline) < 0
+              ? entry.answerDeadline()
+              : resumeDeadline);
     }
   }
 
-  /** Gives up the attempts that were not confirmed in time after a broken stream. */
+  /** Gives up the attempts that were not confirmed in time after the stream broke. */
   void cancelUnconfirmed(Duration now) {
     for (StreamAttempt entry : List.copyOf(attemptsById.values())) {
       if (entry.isConfirmationOverdue(now)) {
@@ -265,15 +269,15 @@
     }
   }
 
-  /** The earliest time by which an attempt has to be confirmed after a broken stream. */
+  /** Returns the earliest time by which an attempt has to be confirmed after the stream broke. */
   Optional<Duration> nextConfirmationDeadline() {
     return attemptsById.values().stream()
         .filter(entry -> entry.stage() == Stage.UNCONFIRMED)
-        .map(StreamAttempt::confirmBy)
+        .map(StreamAttempt::confirmationDeadline)
         .min(Duration::compareTo);
   }
 
-  /** The machine is gone, and no stream can tell more. */
+  /** The machine is gone, and no stream can report on its attempts any more. */
   void machineLost() {
     for (StreamAttempt entry : List.copyOf(attemptsById.values())) {
       Outcome outcome = entry.stage().evidence().outcomeOnFailure();
@@ -281,7 +285,7 @@
     }
   }
 
-  // Private steps
+  // Helpers
 
   private void accept(StreamAttempt entry, boolean running) {
     entry.accepted();
--- a/src/main/java/fordridge/machine/UnclaimedTerminations.java
+++ b/src/main/java/fordridge/machine/UnclaimedTerminations.java
@@ -7,54 +7,55 @@
 import java.util.Optional;
 
 /**
- * Terminations of VMs that are not known to run on a machine. After a restart a machine may notify
- * the end of a VM before its client has reported the VM: the notice is kept for that report. At
- * most {@value #MAX_KEPT} are kept, the latest, each for a while. Not thread-safe.
+ * Termination notices for VMs that are not known to run on a machine. After a restart of the
+ * scheduler, a machine may send a VM's termination notice before the VM's client has handed the VM
+ * over; the notice is kept until then. At most the latest {@value #MAX_ENTRIES} are kept, each for
+ * {@link #RETENTION_TIME}. Not thread-safe.
  */
 final class UnclaimedTerminations {
-  static final int MAX_KEPT = 4096;
-  static final Duration KEPT_FOR = Duration.ofSeconds(10);
+  static final int MAX_ENTRIES = 4096;
+  static final Duration RETENTION_TIME = Duration.ofSeconds(10);
 
-  private record Kept(VmTermination termination, Duration receivedAt) {}
+  private record Entry(VmTermination termination, Duration receivedAt) {}
 
-  private final Map<String, Kept> byVm = new LinkedHashMap<>();
-  private long displaced;
+  private final Map<String, Entry> entriesByVmId = new LinkedHashMap<>();
+  private long displacedCount;
 
-  /** A termination came that nobody waits for yet. */
+  /** Adds a termination notice for an unknown VM, and removes expired and surplus ones. */
   void add(VmTermination termination, Duration now) {
-    // The first time counts: a machine repeats what is not acknowledged.
-    byVm.putIfAbsent(termination.vmId(), new Kept(termination, now));
-    Iterator<Kept> oldest = byVm.values().iterator();
+    // The first arrival counts: a machine resends notices that are not acknowledged.
+    entriesByVmId.putIfAbsent(termination.vmId(), new Entry(termination, now));
+    Iterator<Entry> oldest = entriesByVmId.values().iterator();
     while (oldest.hasNext()) {
-      boolean isOld = now.minus(oldest.next().receivedAt).compareTo(KEPT_FOR) >= 0;
-      if (!isOld && byVm.size() <= MAX_KEPT) {
+      boolean isExpired = now.minus(oldest.next().receivedAt).compareTo(RETENTION_TIME) >= 0;
+      if (!isExpired && entriesByVmId.size() <= MAX_ENTRIES) {
         return;
       }
-      displaced += isOld ? 0 : 1;
+      displacedCount += isExpired ? 0 : 1;
       oldest.remove();
     }
   }
 
-  /** Removes and returns the termination of this VM, if one came within the last while. */
+  /** Removes and returns the termination notice for this VM, if one is kept and has not expired. */
   Optional<VmTermination> take(String vmId, Duration now) {
-    Kept kept = byVm.remove(vmId);
-    return Optional.ofNullable(kept)
-        .filter(each -> now.minus(each.receivedAt).compareTo(KEPT_FOR) < 0)
-        .map(Kept::termination);
+    Entry entry = entriesByVmId.remove(vmId);
+    return Optional.ofNullable(entry)
+        .filter(each -> now.minus(each.receivedAt).compareTo(RETENTION_TIME) < 0)
+        .map(Entry::termination);
   }
 
-  /** Whether a termination of this VM is kept. */
+  /** Whether a termination notice for this VM is kept and has not expired. */
   boolean contains(String vmId, Duration now) {
-    Kept kept = byVm.get(vmId);
-    return kept != null && now.minus(kept.receivedAt).compareTo(KEPT_FOR) < 0;
+    Entry entry = entriesByVmId.get(vmId);
+    return entry != null && now.minus(entry.receivedAt).compareTo(RETENTION_TIME) < 0;
   }
 
-  /** Terminations that gave way to later ones since the start. */
+  /** Number of notices that were displaced by later ones since the start. */
   long displacedCount() {
-    return displaced;
+    return displacedCount;
   }
 
   int size() {
-    return byVm.size();
+    return entriesByVmId.size();
   }
 }
--- a/src/main/java/fordridge/machine/UnsettledAttempts.java
+++ b/src/main/java/fordridge/machine/UnsettledAttempts.java
@@ -10,34 +10,36 @@
 import java.util.function.Predicate;
 
 /**
- * Attempts on one machine that this scheduler has given up, and whose machine has not said what
- * became of them: each may have left a VM that runs there and that nobody owns. Each is kept until
- * the machine has said that it is over, has answered a health check that was written behind its
- * release, or is known to be gone with all that ran there. Until then the release is repeated.
+ * Unsettled attempts on one machine: attempts that this scheduler has given up although their
+ * outcome on the machine is unknown. Each may have left an orphaned VM, which runs there without an
+ * owner, so the scheduler requests the machine to release the VM and repeats the request until the
+ * attempt is settled. It is settled when the machine has reported the end of the VM, has answered a
+ * health check that was sent after the release, or is known to be gone with all its VMs, or when
+ * the VM has an owner again.
  *
  * <pre>
- * state     release written  check behind it   connection of the  machine accepts
- *                            answered          release ended      it
- * PENDING   RELEASED         -                 -                  PENDING
- * RELEASED  -                settled           PENDING            PENDING
+ * state     release written  health check sent  connection of the  machine accepts
+ *                            after it answered  release closed     the VM
+ * PENDING   RELEASED         -                  -                  PENDING
+ * RELEASED  -                settled            PENDING            PENDING
  * </pre>
  *
- * <p>At most {@value #MAX_KEPT} are kept, the latest; those that give way are counted. Not
+ * <p>At most the latest {@value #MAX_ENTRIES} are kept; displaced ones are counted. Not
  * thread-safe.
  */
 public final class UnsettledAttempts {
-  static final int MAX_KEPT = 1024;
+  static final int MAX_ENTRIES = 1024;
 
   private static final class Entry {
     final UnsettledReason reason;
     final Duration since;
     boolean wasReleased;
 
-    /** The connection on which its release was written last; null while that is pending. */
+    /** The connection on which the release was last written; null while the release is pending. */
     MachineConnection releasedOn;
 
-    /** The number of the health check on that connection which was written behind the release. */
-    long checkNumber;
+    /** The number of the health check that was sent on that connection after the release. */
+    long healthCheckNumber;
 
     Entry(UnsettledReason reason, Duration since) {
       this.reason = reason;
@@ -45,74 +47,82 @@
     }
   }
 
-  /** By VM, the one that was given up first at the front. */
-  private final Map<String, Entry> byVm = new LinkedHashMap<>();
+  /** Entries by VM id, in the order in which the attempts were given up. */
+  private final Map<String, Entry> entriesByVmId = new LinkedHashMap<>();
 
   private long displacedCount;
 
-  /** An attempt was given up; the release of its VM is pending. */
+  /** Adds an attempt that was given up; the release of its VM is pending. */
   void add(String vmId, UnsettledReason reason, Duration now) {
-    byVm.computeIfAbsent(vmId, id -> new Entry(reason, now)).releasedOn = null;
-    if (byVm.size() > MAX_KEPT) {
-      byVm.remove(byVm.keySet().iterator().next());
+    entriesByVmId.computeIfAbsent(vmId, id -> new Entry(reason, now)).releasedOn = null;
+    if (entriesByVmId.size() > MAX_ENTRIES) {
+      entriesByVmId.remove(entriesByVmId.keySet().iterator().next());
       displacedCount++;
     }
   }
 
-  /** Its release was written to the connection, and the health check of that number behind it. */
-  void released(String vmId, MachineConnection connection, long checkNumber) {
-    Entry entry = byVm.get(vmId);
+  /** The release was written to the connection, followed by the health check of that number. */
+  void released(String vmId, MachineConnection connection, long healthCheckNumber) {
+    Entry entry = entriesByVmId.get(vmId);
     if (entry != null) {
       entry.wasReleased = true;
       entry.releasedOn = connection;
-      entry.checkNumber = checkNumber;
+      entry.healthCheckNumber = healthCheckNumber;
     }
   }
 
   /**
-   * Nothing is to be released any more: the machine has said that it is over, or somebody owns the
-   * VM. The result tells whether its release was written before; empty if it was not kept.
+   * Settles the attempt of a VM: the machine has reported the VM's end, or the VM has an owner
+   * again. Returns whether a release was written before; empty if no attempt of the VM was
+   * unsettled.
    */
   Optional<Boolean> settle(String vmId) {
-    return Optional.ofNullable(byVm.remove(vmId)).map(entry -> entry.wasReleased);
+    return Optional.ofNullable(entriesByVmId.remove(vmId)).map(entry -> entry.wasReleased);
   }
 
-  /** The machine answered that health check: it has read what was written before; the VMs. */
-  List<String> settleRead(MachineConnection connection, long checkNumber) {
+  /**
+   * Settles the attempts whose releases were written before that health check, which the machine
+   * has answered; returns the ids of their VMs.
+   */
+  List<String> settleAnswered(MachineConnection connection, long healthCheckNumber) {
     List<String> settled = new ArrayList<>();
-    for (Iterator<Map.Entry<String, Entry>> entries = byVm.entrySet().iterator();
+    for (Iterator<Map.Entry<String, Entry>> entries = entriesByVmId.entrySet().iterator();
         entries.hasNext(); ) {
-      Map.Entry<String, Entry> each = entries.next();
-      if (each.getValue().releasedOn == connection && each.getValue().checkNumber <= checkNumber) {
+      Map.Entry<String, Entry> entry = entries.next();
+      if (entry.getValue().releasedOn == connection
+          && entry.getValue().healthCheckNumber <= healthCheckNumber) {
         entries.remove();
-        settled.add(each.getKey());
+        settled.add(entry.getKey());
       }
     }
     return settled;
   }
 
-  /** What was written to the connection may not have been read: its releases are pending again. */
-  void connectionEnded(MachineConnection connection) {
-    for (Entry entry : byVm.values()) {
+  /**
+   * The connection was closed or timed out. The machine may not have read the releases written to
+   * it, so they are pending again.
+   */
+  void connectionClosed(MachineConnection connection) {
+    for (Entry entry : entriesByVmId.values()) {
       if (entry.releasedOn == connection) {
         entry.releasedOn = null;
       }
     }
   }
 
-  /** The machine is gone with all that ran there. */
+  /** Settles all attempts: the machine is gone with all its VMs. */
   void settleAll() {
-    byVm.clear();
+    entriesByVmId.clear();
   }
 
   boolean isEmpty() {
-    return byVm.isEmpty();
+    return entriesByVmId.isEmpty();
   }
 
-  /** The ids of the VMs whose release is to be written, of those that may be released now. */
+  /** Returns the ids of the VMs whose release is pending and that may be released now. */
   List<String> pending(Predicate<String> isReleasable) {
     List<String> pending = new ArrayList<>();
-    byVm.forEach(
+    entriesByVmId.forEach(
         (vmId, entry) -> {
           if (entry.releasedOn == null && isReleasable.test(vmId)) {
             pending.add(vmId);
@@ -121,17 +131,17 @@
     return pending;
   }
 
-  /** Adds how many there are by reason. */
+  /** Adds the number of unsettled attempts by reason to the given counts. */
   public void countInto(Map<UnsettledReason, Integer> counts) {
-    byVm.values().forEach(entry -> counts.merge(entry.reason, 1, Integer::sum));
+    entriesByVmId.values().forEach(entry -> counts.merge(entry.reason, 1, Integer::sum));
   }
 
-  /** Since when the oldest is kept; empty if none is. */
+  /** Returns the time at which the oldest one was given up; empty if there is none. */
   public Optional<Duration> oldestSince() {
-    return byVm.values().stream().findFirst().map(entry -> entry.since);
+    return entriesByVmId.values().stream().findFirst().map(entry -> entry.since);
   }
 
-  /** Those that gave way to later ones since the start. */
+  /** Number of unsettled attempts that were displaced by later ones since the start. */
   public long displacedCount() {
     return displacedCount;
   }
--- a/src/main/java/fordridge/machine/UnsettledReason.java
+++ b/src/main/java/fordridge/machine/UnsettledReason.java
@@ -1,15 +1,18 @@
 package fordridge.machine;
 
-/** How an attempt came to be given up while its VM may run at the machine. */
+/** Why an attempt was given up although its VM may still run on the machine. */
 public enum UnsettledReason {
-  /** Its connection ended before the machine's answer. */
+  /** The connection that carried the request was lost before the machine answered. */
   CONNECTION_LOST,
-  /** It was withdrawn, for its client, its time or a handover elsewhere. */
+  /**
+   * The request was withdrawn because its client abandoned it, its timeout passed or the VM was
+   * handed over on another machine.
+   */
   WITHDRAWN,
-  /** The VM was to be terminated, and the machine has not confirmed it in time. */
+  /** The machine did not confirm the termination of the VM in time. */
   TERMINATION_UNCONFIRMED,
-  /** The machine could not be reached, and its VMs were told as lost. */
+  /** The machine was unreachable, and its VMs were reported as lost. */
   UNREACHABLE,
-  /** The machine accepted a VM that is not requested from it, or no longer. */
+  /** The machine accepted a VM that had no pending placement request there. */
   ACCEPTED_UNASKED
 }
--- a/src/main/java/fordridge/machine/VmExecutions.java
+++ b/src/main/java/fordridge/machine/VmExecutions.java
@@ -9,24 +9,26 @@
 import java.util.Optional;
 
 /**
- * What is known of the execution of each VM on one machine. The machine speaks of a VM by its id,
- * on whichever connection: its word is applied to the life that the VM has there, which only goes
- * forward. Where a VM is known to run it is not placed again by itself, and its client is owed one
- * word: that its request failed, or that the VM is over.
+ * What is known about the execution of each VM on one machine. The machine's messages name a VM by
+ * its id and may arrive on any connection; each advances the state of the VM, which never goes
+ * back. A VM that is known to run is not automatically placed again; its client receives exactly
+ * one notification, that its request failed or that the VM ended.
  *
  * <pre>
- * state     accepted  reported  end that a VM has   rejected, reset  connection fails  times out
- * SENT      RUNNING   KNOWN     over, unanswered    may be repeated  may be repeated   withdrawn
- * KNOWN     RUNNING   -         over, unanswered    over, unanswered over, unanswered  -
- * RUNNING   -         -         over                -                -                 -
- * unknown   released  -         kept for an owner   -                -                 -
+ * state     accepted  reported  end of a running VM  rejected, reset    connection fails   times out
+ * SENT      RUNNING   KNOWN     ended, unanswered    may be retried     may be retried     withdrawn
+ * KNOWN     RUNNING   -         ended, unanswered    ended, unanswered  ended, unanswered  -
+ * RUNNING   -         -         ended                -                  -                  -
+ * unknown   released  -         kept for adoption    -                  -                  -
  * </pre>
  *
- * <p>An attempt that ends without the machine's word goes on in {@link UnsettledAttempts}.
+ * <p>SENT is a request that a {@link MachineConnection} carries. KNOWN is such a request whose VM
+ * the machine has reported to run. RUNNING VMs are in {@link RunningVms}. A termination notice
+ * counts as the end of a running VM if {@link VmTermination#provesExecution} holds or if it arrives
+ * on another connection than the request's.
  *
- * <p>SENT and KNOWN are requests that a {@link MachineConnection} carries, RUNNING is in {@link
- * RunningVms}. An end that a VM has is one that {@link VmTermination#provesExecution}, or that
- * comes on another connection than the request's. Not thread-safe.
+ * <p>An attempt that ends without a message of the machine becomes one of the {@link
+ * UnsettledAttempts}. Not thread-safe.
  */
 final class VmExecutions {
   private final Machine machine;
@@ -35,7 +37,11 @@
   private final RunningVms runningVms = new RunningVms();
   private final UnsettledAttempts unsettled = new UnsettledAttempts();
 
-  /** Nothing runs; {@code connections} are those to the machine, which the caller changes. */
+  /**
+   * Creates the state of a machine without VMs.
+   *
+   * @param connections the connections to the machine, which the caller adds and removes
+   */
   VmExecutions(Machine machine, ConnectionSet connections, MachineConnectionListener listener) {
     this.machine = machine;
     this.connections = connections;
@@ -50,71 +56,72 @@
     return unsettled;
   }
 
-  // Words of the machine; the result is the connection of the request that ended by it
+  // Messages from the machine; the result is the connection on which the ended request was sent
 
-  /** The machine accepted a VM. */
+  /** The machine accepted a VM; one without a pending request that isn't running is released. */
   Optional<MachineConnection> accepted(
-      MachineConnection heardOn, String vmId, String description, Duration now) {
-    Optional<MachineConnection> carrier = connections.findCarrier(vmId, heardOn);
-    if (carrier.isPresent()) {
+      MachineConnection receivedOn, String vmId, String description, Duration now) {
+    Optional<MachineConnection> sentOn = connections.findRequestConnection(vmId, receivedOn);
+    if (sentOn.isPresent()) {
       unsettled.settle(vmId);
-      PlacementAttempt attempt = carrier.get().remove(vmId).orElseThrow().attempt();
+      PlacementAttempt attempt = sentOn.get().remove(vmId).orElseThrow().attempt();
       runningVms.add(attempt);
       listener.attemptAccepted(attempt, description);
     } else if (runningVms.find(vmId).isEmpty()) {
       unsettled.add(vmId, UnsettledReason.ACCEPTED_UNASKED, now);
       listener.unknownVmAccepted(vmId, machine);
     }
-    return carrier;
+    return sentOn;
   }
 
-  /** The machine reported on a VM, as it does only for one that runs. */
-  void reported(MachineConnection heardOn, String vmId) {
+  /** The machine sent a report on a VM, which it does only for a running VM. */
+  void reported(MachineConnection receivedOn, String vmId) {
     connections
-        .findCarrier(vmId, heardOn)
-        .flatMap(carrier -> carrier.find(vmId))
+        .findRequestConnection(vmId, receivedOn)
+        .flatMap(sentOn -> sentOn.find(vmId))
         .ifPresent(PlacementRequest::markReportedRunning);
   }
 
   /** The machine ended a placement request or a VM. */
   Optional<MachineConnection> terminated(
-      MachineConnection heardOn, VmTermination termination, Duration now) {
+      MachineConnection receivedOn, VmTermination termination, Duration now) {
     String vmId = termination.vmId();
-    if (heardOn.findSent(vmId).isPresent()) {
-      endRequest(heardOn, termination, termination.provesExecution());
-      return Optional.of(heardOn);
+    if (receivedOn.findSent(vmId).isPresent()) {
+      endRequest(receivedOn, termination, termination.provesExecution());
+      return Optional.of(receivedOn);
     }
     boolean isRunning = runningVms.find(vmId).isPresent();
-    if (!isRunning && settledByWord(termination)) {
+    if (!isRunning && settleByTermination(termination)) {
       return Optional.empty();
     }
     if (termination.outcomeIfRunning().isEmpty()) {
       return Optional.empty();
     }
-    Optional<MachineConnection> carrier =
-        isRunning ? Optional.empty() : connections.findCarrier(vmId, heardOn);
-    // On another connection than the request's a machine speaks of VMs that run, and of no others.
-    carrier.ifPresentOrElse(
+    Optional<MachineConnection> sentOn =
+        isRunning ? Optional.empty() : connections.findRequestConnection(vmId, receivedOn);
+    // On another connection than the request's, a machine sends messages about running VMs only.
+    sentOn.ifPresentOrElse(
         found -> endRequest(found, termination, true), () -> endRunning(termination, now));
-    return carrier;
+    return sentOn;
   }
 
   /**
-   * Whether the machine has ended a VM that was given up, and nothing more follows from it: the end
-   * is that of a request, or may be this scheduler's own doing, as the VM was to be released.
+   * Settles the attempt of a VM that was given up and that the machine has now ended. Returns
+   * whether the notice needs no further action: the VM did not run to completion, and a release was
+   * written, so that the release may have ended it.
    */
-  private boolean settledByWord(VmTermination termination) {
+  private boolean settleByTermination(VmTermination termination) {
     Optional<Boolean> wasReleased = unsettled.settle(termination.vmId());
-    boolean endedByItself =
+    boolean ranToCompletion =
         termination.outcomeIfRunning().filter(outcome -> outcome == Outcome.DONE).isPresent();
-    boolean isNoEndOfItsOwn = wasReleased.isPresent() && wasReleased.get() && !endedByItself;
-    if (isNoEndOfItsOwn) {
+    boolean needsNoFurtherAction = wasReleased.isPresent() && wasReleased.get() && !ranToCompletion;
+    if (needsNoFurtherAction) {
       listener.releaseSettled(termination.vmId(), machine);
     }
-    return isNoEndOfItsOwn;
+    return needsNoFurtherAction;
   }
 
-  /** The machine heard that a VM is to be terminated, and so has cut it. */
+  /** The machine acknowledged a termination request, and so has stopped the VM. */
   void terminationAcknowledged(String vmId) {
     if (unsettled.settle(vmId).isPresent()) {
       listener.releaseSettled(vmId, machine);
@@ -125,8 +132,8 @@
   }
 
   private void endRequest(
-      MachineConnection carrier, VmTermination termination, boolean provesExecution) {
-    PlacementRequest request = carrier.remove(termination.vmId()).orElseThrow();
+      MachineConnection sentOn, VmTermination termination, boolean provesExecution) {
+    PlacementRequest request = sentOn.remove(termination.vmId()).orElseThrow();
     Optional<Outcome> outcomeIfRunning = termination.outcomeIfRunning();
     if (outcomeIfRunning.isPresent() && (provesExecution || request.isKnownToRun())) {
       listener.attemptEndedUnanswered(
@@ -146,58 +153,58 @@
             () -> listener.unknownVmEnded(termination, machine));
   }
 
-  // Words of clients
+  // Requests from clients
 
-  /** Takes over a VM that a client says runs on the machine. */
+  /** Adopts a VM that runs on the machine according to a client. */
   void adopt(PlacementAttempt attempt, Duration now) {
     unsettled.settle(attempt.vm.id);
     runningVms.adopt(attempt, now).ifPresent(termination -> endRunning(termination, now));
   }
 
   /**
-   * A client that hands a VM over takes the place of whoever had it here before: an attempt that is
-   * running, being terminated or unanswered ends as cancelled, and the machine is not told.
+   * A client hands over a VM, which replaces any attempt of that VM here: one that is running,
+   * being terminated or unanswered ends as cancelled, and nothing is sent to the machine.
    */
   void supersede(String vmId) {
-    Optional<MachineConnection> carrier = connections.findCarrier(vmId);
+    Optional<MachineConnection> sentOn = connections.findRequestConnection(vmId);
     Optional<PlacementAttempt> superseded =
-        carrier.isPresent()
-            ? carrier.get().remove(vmId).map(PlacementRequest::attempt)
+        sentOn.isPresent()
+            ? sentOn.get().remove(vmId).map(PlacementRequest::attempt)
             : runningVms.remove(vmId);
     superseded.ifPresent(attempt -> end(attempt, Outcome.CANCELLED));
   }
 
-  // Conclusions without a word of the machine
+  // Events without a message from the machine
 
-  /** The requests that the connection carries will get no answer. */
+  /** Ends the requests that the connection carries: they will not be answered. */
   void requestsLost(MachineConnection connection, Duration now) {
-    unsettled.connectionEnded(connection);
+    unsettled.connectionClosed(connection);
     for (PlacementRequest request : connection.takePlacementRequests()) {
       if (request.evidence().mayStillRun()) {
         unsettled.add(request.attempt().vm.id, UnsettledReason.CONNECTION_LOST, now);
       }
       if (request.isKnownToRun()) {
-        lostUnanswered(request.attempt());
+        endLostUnanswered(request.attempt());
       } else {
-        endWithoutWord(request.attempt(), request.evidence());
+        endWithoutReport(request.attempt(), request.evidence());
       }
     }
   }
 
-  private void lostUnanswered(PlacementAttempt attempt) {
+  private void endLostUnanswered(PlacementAttempt attempt) {
     attempt.mayStillRun = true;
     listener.attemptEndedUnanswered(
         attempt, ExecutionEvidence.RUNNING.outcomeOnFailure(), OutcomeReason.UNSPECIFIED);
   }
 
-  /** The VM is known to run no longer, by other means than the machine's own notice. */
+  /** The VM is considered lost, though the machine sent no notice of its end. */
   void vmLost(String vmId) {
     runningVms
         .remove(vmId)
-        .ifPresent(attempt -> endWithoutWord(attempt, ExecutionEvidence.RUNNING));
+        .ifPresent(attempt -> endWithoutReport(attempt, ExecutionEvidence.RUNNING));
   }
 
-  /** The machine has failed, with all that ran there or so that it can't be told. */
+  /** The machine has failed; its VMs are lost or, if it is unreachable, may still run. */
   void allVmsLost(MachineFailure failure, Duration now) {
     for (PlacementAttempt attempt : runningVms.all()) {
       unsettled.add(attempt.vm.id, UnsettledReason.UNREACHABLE, now);
@@ -208,7 +215,7 @@
     }
   }
 
-  /** The machine started anew at that time: VMs that were accepted before are lost. */
+  /** The machine restarted at that time: VMs that it accepted earlier are lost. */
   void vmsLostBefore(Duration startedAt) {
     for (PlacementAttempt attempt : runningVms.all()) {
       if (attempt.acceptedAt != null && attempt.acceptedAt.compareTo(startedAt) < 0) {
@@ -217,8 +224,11 @@
     }
   }
 
-  /** Ends the VMs whose termination the machine has not confirmed, and may not have heard of. */
-  void endUnconfirmed(Duration now) {
+  /**
+   * Ends the attempts whose termination the machine has not confirmed in time; it may not have
+   * received the request.
+   */
+  void endUnconfirmedTerminations(Duration now) {
     List<PlacementAttempt> unconfirmed = runningVms.takeUnconfirmed(now);
     for (PlacementAttempt attempt : unconfirmed) {
       attempt.mayStillRun = true;
@@ -227,28 +237,33 @@
     }
   }
 
-  // Release of what was given up
+  // Release of orphaned VMs
 
-  /** The ids of the VMs whose release is to be written: not those that somebody owns here. */
+  /** Returns the ids of the VMs whose release is pending, except those with an owner here. */
   List<String> releasable() {
     return unsettled.pending(
-        vmId -> runningVms.find(vmId).isEmpty() && connections.findCarrier(vmId).isEmpty());
+        vmId ->
+            runningVms.find(vmId).isEmpty() && connections.findRequestConnection(vmId).isEmpty());
   }
 
-  /** The machine has read what was written to the connection before that health check. */
-  void readByMachine(MachineConnection connection) {
-    for (String vmId : unsettled.settleRead(connection, connection.answeredHealthCheckCount())) {
+  /**
+   * The machine answered a health check on the connection, and so has read everything that was
+   * written to it before the check.
+   */
+  void healthCheckAnswered(MachineConnection connection) {
+    for (String vmId :
+        unsettled.settleAnswered(connection, connection.answeredHealthCheckCount())) {
       listener.releaseSettled(vmId, machine);
     }
   }
 
-  /** It failed, and the machine has not said what became of it. */
-  private void endWithoutWord(PlacementAttempt attempt, ExecutionEvidence evidence) {
+  /** Ends a failed attempt whose result the machine has not reported. */
+  private void endWithoutReport(PlacementAttempt attempt, ExecutionEvidence evidence) {
     attempt.mayStillRun = evidence.mayStillRun();
     end(attempt, evidence.outcomeOnFailure());
   }
 
-  /** Ends an attempt for a reason of this scheduler. */
+  /** Ends an attempt for a reason that the machine did not give. */
   void end(PlacementAttempt attempt, Outcome outcome) {
     listener.attemptEnded(attempt, outcome, OutcomeReason.UNSPECIFIED);
   }
--- a/src/main/java/fordridge/machine/VmReportKind.java
+++ b/src/main/java/fordridge/machine/VmReportKind.java
@@ -1,13 +1,13 @@
 package fordridge.machine;
 
-/** What a machine's report on a single VM is about. */
+/** The kind of a machine's report on a single VM. */
 public enum VmReportKind {
-  /** The VM runs from now on; the report has no value. */
+  /** The VM has started; the report has no value. */
   STARTED,
   CORE_USAGE,
   MEMORY_USAGE,
   SERVICE_LEVEL,
   MEMORY_PRESSURE,
-  /** A kind that this version does not know; ignored. */
+  /** A kind that is unknown to this version; ignored. */
   UNKNOWN
 }
--- a/src/test/java/fordridge/machine/ConnectFailureTest.java
+++ b/src/test/java/fordridge/machine/ConnectFailureTest.java
@@ -104,15 +104,15 @@
   @Example
   void unclaimedTerminationsAreBoundedAndExpire() {
     UnclaimedTerminations kept = new UnclaimedTerminations();
-    for (int i = 0; i < 3 * UnclaimedTerminations.MAX_KEPT; i++) {
+    for (int i = 0; i < 3 * UnclaimedTerminations.MAX_ENTRIES; i++) {
       kept.add(
           new VmTermination(
               "vm" + i, Outcome.RESET, Optional.of(Outcome.DONE), OutcomeReason.UNSPECIFIED),
           NOW);
     }
-    assertThat(kept.size()).isEqualTo(UnclaimedTerminations.MAX_KEPT);
-    String last = "vm" + (3 * UnclaimedTerminations.MAX_KEPT - 1);
-    assertThat(kept.take(last, NOW.plus(UnclaimedTerminations.KEPT_FOR))).isEmpty();
+    assertThat(kept.size()).isEqualTo(UnclaimedTerminations.MAX_ENTRIES);
+    String last = "vm" + (3 * UnclaimedTerminations.MAX_ENTRIES - 1);
+    assertThat(kept.take(last, NOW.plus(UnclaimedTerminations.RETENTION_TIME))).isEmpty();
     assertThat(kept.take("vm0", NOW)).isEmpty();
   }
 }
--- a/src/test/java/fordridge/machine/MachinePoolStub.java
+++ b/src/test/java/fordridge/machine/MachinePoolStub.java
@@ -96,7 +96,7 @@
   }
 
   @Override
-  public void attemptWithdrawn(PlacementAttempt attempt, boolean hasGoneOut) {}
+  public void attemptWithdrawn(PlacementAttempt attempt, boolean flushed) {}
 
   @Override
   public void ping(MachineConnection connection) {}
--- a/src/test/java/fordridge/machine/UnsettledAttemptsTest.java
+++ b/src/test/java/fordridge/machine/UnsettledAttemptsTest.java
@@ -147,11 +147,11 @@
 
   @Example
   void boundedAndTheOldestGivesWay() {
-    for (int i = 0; i < UnsettledAttempts.MAX_KEPT + 10; i++) {
+    for (int i = 0; i < UnsettledAttempts.MAX_ENTRIES + 10; i++) {
       fixture.isWritable = false;
       fixture.pool.vmAccepted(other, "asked" + i, "d", fixture.now);
     }
-    assertThat(unsettledCount()).isEqualTo(UnsettledAttempts.MAX_KEPT);
+    assertThat(unsettledCount()).isEqualTo(UnsettledAttempts.MAX_ENTRIES);
     assertThat(fixture.pool.unsettled().displacedCount()).isEqualTo(10);
   }
 }
