--- a/src/main/java/fordridge/machine/VmExecutions.java
+++ b/src/main/java/fordridge/machine/VmExecutions.java
@@ -15,11 +15,11 @@
  * one notification, that its request failed or that the VM ended.
  *
  * <pre>
- * state     accepted  reported  end of a running VM  rejected, reset    connection fails   times out
- * SENT      RUNNING   KNOWN     ended, unanswered    may be retried     may be retried     withdrawn
- * KNOWN     RUNNING   -         ended, unanswered    ended, unanswered  ended, unanswered  -
- * RUNNING   -         -         ended                -                  -                  -
- * unknown   released  -         kept for adoption    -                  -                  -
+ * state    accepted  reported  end of running VM  rejected, reset    connection fails   times out
+ * SENT     RUNNING   KNOWN     ended, unanswered  may be retried     may be retried     withdrawn
+ * KNOWN    RUNNING   -         ended, unanswered  ended, unanswered  ended, unanswered  -
+ * RUNNING  -         -         ended              -                  -                  -
+ * unknown  released  -         kept for adoption  -                  -                  -
  * </pre>
  *
  * <p>SENT is a request that a {@link MachineConnection} carries. KNOWN is such a request whose VM
--- a/src/test/java/fordridge/machine/ConnectFailureTest.java
+++ b/src/test/java/fordridge/machine/ConnectFailureTest.java
@@ -13,15 +13,15 @@
 import java.util.Optional;
 import net.jqwik.api.Example;
 
-/** What a connect that failed proves, and terminations that come before their VM is reported. */
+/** What a failed connection attempt proves, and termination notices that precede an adoption. */
 class ConnectFailureTest {
   private static final Duration NOW = Duration.ofSeconds(1);
 
-  private static final class Pool extends MachinePoolStub {
+  private static final class RecordingStub extends MachinePoolStub {
     final List<MachineConnection> opened = new ArrayList<>();
     final Map<PlacementAttempt, Outcome> ended = new HashMap<>();
 
-    Pool() {
+    RecordingStub() {
       super(1);
     }
 
@@ -44,75 +44,75 @@
   }
 
   @Example
-  void localFailureSaysNothingOfTheMachineAndItsVms() {
-    Pool pool = new Pool();
-    PlacementAttempt running = pool.newAttempt("running", NOW);
-    pool.pool.adopt(running, NOW);
+  void localFailuresDoNotFailTheMachine() {
+    RecordingStub stub = new RecordingStub();
+    PlacementAttempt running = stub.newAttempt("running", NOW);
+    stub.pool.adopt(running, NOW);
 
     for (int i = 0; i < 5; i++) {
-      PlacementAttempt offered = pool.offerAndFail("vm" + i, ConnectFailure.LOCAL);
-      assertThat(pool.ended).containsEntry(offered, Outcome.NOT_SENT);
+      PlacementAttempt offered = stub.offerAndFail("vm" + i, ConnectFailure.LOCAL);
+      assertThat(stub.ended).containsEntry(offered, Outcome.NOT_SENT);
     }
 
-    assertThat(pool.ended).doesNotContainKey(running);
+    assertThat(stub.ended).doesNotContainKey(running);
   }
 
   @Example
-  void machineThatRefusesTwiceHasLostItsVms() {
-    Pool pool = new Pool();
-    PlacementAttempt running = pool.newAttempt("running", NOW);
-    pool.pool.adopt(running, NOW);
+  void twoRefusedConnectionsLoseTheVmsOfTheMachine() {
+    RecordingStub stub = new RecordingStub();
+    PlacementAttempt running = stub.newAttempt("running", NOW);
+    stub.pool.adopt(running, NOW);
 
-    pool.offerAndFail("vm0", ConnectFailure.REFUSED);
-    assertThat(pool.ended).doesNotContainKey(running);
-    pool.offerAndFail("vm1", ConnectFailure.REFUSED);
+    stub.offerAndFail("vm0", ConnectFailure.REFUSED);
+    assertThat(stub.ended).doesNotContainKey(running);
+    stub.offerAndFail("vm1", ConnectFailure.REFUSED);
 
-    assertThat(pool.ended).containsEntry(running, Outcome.RESET);
+    assertThat(stub.ended).containsEntry(running, Outcome.RESET);
   }
 
   @Example
-  void timeoutsOfAMachineThatWasHeardJustNowLoseNoVm() {
-    Pool pool = new Pool();
-    PlacementAttempt running = pool.newAttempt("running", NOW);
-    pool.pool.adopt(running, NOW);
-    pool.pool.messageReceived(NOW);
+  void connectTimeoutsOfARecentlyHeardMachineLoseNoVm() {
+    RecordingStub stub = new RecordingStub();
+    PlacementAttempt running = stub.newAttempt("running", NOW);
+    stub.pool.adopt(running, NOW);
+    stub.pool.messageReceived(NOW);
 
     for (int i = 0; i < 5; i++) {
-      pool.offerAndFail("vm" + i, ConnectFailure.UNREACHABLE);
+      stub.offerAndFail("vm" + i, ConnectFailure.UNREACHABLE);
     }
 
-    assertThat(pool.ended).doesNotContainKey(running);
+    assertThat(stub.ended).doesNotContainKey(running);
   }
 
   @Example
-  void terminationBeforeTheAdoptionEndsTheVmAtItsAdoption() {
-    Pool pool = new Pool();
-    PlacementAttempt first = pool.offerAndFail("other", ConnectFailure.LOCAL);
+  void terminationBeforeTheAdoptionEndsTheVmOnAdoption() {
+    RecordingStub stub = new RecordingStub();
+    PlacementAttempt first = stub.offerAndFail("other", ConnectFailure.LOCAL);
     assertThat(first).isNotNull();
-    MachineConnection connection = pool.opened.get(0);
+    MachineConnection connection = stub.opened.get(0);
     VmTermination termination =
         new VmTermination(
             "early", Outcome.RESET, Optional.of(Outcome.DONE), OutcomeReason.UNSPECIFIED);
 
-    pool.pool.vmTerminated(connection, termination, NOW);
-    PlacementAttempt adopted = pool.newAttempt("early", NOW);
-    pool.pool.adopt(adopted, NOW.plusSeconds(1));
+    stub.pool.vmTerminated(connection, termination, NOW);
+    PlacementAttempt adopted = stub.newAttempt("early", NOW);
+    stub.pool.adopt(adopted, NOW.plusSeconds(1));
 
-    assertThat(pool.ended).containsEntry(adopted, Outcome.DONE);
+    assertThat(stub.ended).containsEntry(adopted, Outcome.DONE);
   }
 
   @Example
   void unclaimedTerminationsAreBoundedAndExpire() {
-    UnclaimedTerminations kept = new UnclaimedTerminations();
+    UnclaimedTerminations terminations = new UnclaimedTerminations();
     for (int i = 0; i < 3 * UnclaimedTerminations.MAX_ENTRIES; i++) {
-      kept.add(
+      terminations.add(
           new VmTermination(
               "vm" + i, Outcome.RESET, Optional.of(Outcome.DONE), OutcomeReason.UNSPECIFIED),
           NOW);
     }
-    assertThat(kept.size()).isEqualTo(UnclaimedTerminations.MAX_ENTRIES);
+    assertThat(terminations.size()).isEqualTo(UnclaimedTerminations.MAX_ENTRIES);
     String last = "vm" + (3 * UnclaimedTerminations.MAX_ENTRIES - 1);
-    assertThat(kept.take(last, NOW.plus(UnclaimedTerminations.RETENTION_TIME))).isEmpty();
-    assertThat(kept.take("vm0", NOW)).isEmpty();
+    assertThat(terminations.take(last, NOW.plus(UnclaimedTerminations.RETENTION_TIME))).isEmpty();
+    assertThat(terminations.take("vm0", NOW)).isEmpty();
   }
 }
--- a/src/test/java/fordridge/machine/ConnectionBudgetTest.java
+++ b/src/test/java/fordridge/machine/ConnectionBudgetTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import net.jqwik.api.Example;
 
-/** More machines with VMs than connections. */
+/** {@link ConnectionBudget} with more machines with VMs than connections. */
 class ConnectionBudgetTest {
   private static final Duration TICK = Duration.ofMillis(50);
   private static final Duration TIME_LEFT = Duration.ofSeconds(1);
@@ -23,7 +23,7 @@
   private static final int MACHINES = 208;
   private static final int MAX_CONNECTIONS = 60;
   private static final int RUNNING_MACHINES = 50;
-  private static final int HANGING_OFFERS_A_TICK = 4;
+  private static final int HANGING_OFFERS_PER_TICK = 4;
   private static final int TICKS = 1200;
   private static final int TICKS_BEFORE_OFFERS = 20;
 
@@ -46,7 +46,7 @@
       pool.adopt(new PlacementAttempt(new Vm("runs" + id), machine, 0, now), now);
     }
 
-    void measure() {
+    void recordTimeUnconnected() {
       if (!established.isEmpty()) {
         lastConnectedAt = now;
       }
@@ -92,13 +92,13 @@
 
     @Override
     public void attemptEnded(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
-      assertThat(attempt.vm.id).as("no running VM is taken for lost").startsWith("new");
+      assertThat(attempt.vm.id).as("no running VM counts as lost").startsWith("new");
       notSentCount += outcome == Outcome.NOT_SENT ? 1 : 0;
     }
   }
 
   @Example
-  void everyMachineIsConnectedToInTurnAndRequestsAreSent() {
+  void allMachinesAreMonitoredInTurnWhileOffersAreSent() {
     List<FullMachine> machines = new ArrayList<>();
     for (int i = 0; i < MACHINES; i++) {
       machines.add(new FullMachine(i));
@@ -117,13 +117,13 @@
       pools.forEach(pool -> pool.tick(now));
       ConnectionBudget.rebalance(
           pools, openCount - closingCount, MAX_CONNECTIONS, sharedOffers, now);
-      machines.forEach(FullMachine::measure);
+      machines.forEach(FullMachine::recordTimeUnconnected);
       assertThat(openCount).isLessThanOrEqualTo(MAX_CONNECTIONS);
     }
     assertThat(machines)
         .allSatisfy(
             machine -> assertThat(machine.longestUnconnected).isLessThan(MAX_TIME_UNCONNECTED));
-    assertThat(notSentCount).as("of " + offered + " requests").isLessThan(offered / 50);
+    assertThat(notSentCount).as("not sent of " + offered + " requests").isLessThan(offered / 50);
   }
 
   /** A machine that runs nothing and never answers. */
@@ -144,7 +144,7 @@
   }
 
   @Example
-  void machinesWithVmsAreConnectedToInTurnThoughOffersHangElsewhere() {
+  void machinesWithVmsAreMonitoredInTurnWhileOffersHangElsewhere() {
     List<FullMachine> running = new ArrayList<>();
     List<FullMachine> hanging = new ArrayList<>();
     for (int i = 0; i < RUNNING_MACHINES; i++) {
@@ -158,7 +158,7 @@
     for (int tick = 0; tick < TICKS; tick++) {
       now = now.plus(TICK);
       runDueEvents();
-      for (int i = 0; i < HANGING_OFFERS_A_TICK; i++) {
+      for (int i = 0; i < HANGING_OFFERS_PER_TICK; i++) {
         FullMachine target = hanging.get(offered % RUNNING_MACHINES);
         PlacementAttempt attempt = target.newAttempt("new" + offered++, now);
         target.pool.offer(attempt, TIME_LEFT, true, now);
@@ -173,7 +173,7 @@
       pools.forEach(pool -> pool.tick(now));
       ConnectionBudget.rebalance(
           pools, openCount - closingCount, MAX_CONNECTIONS, sharedOffers, now);
-      running.forEach(FullMachine::measure);
+      running.forEach(FullMachine::recordTimeUnconnected);
       assertThat(openCount).isLessThanOrEqualTo(MAX_CONNECTIONS);
     }
     assertThat(running)
--- a/src/test/java/fordridge/machine/MachineConnectionPoolTest.java
+++ b/src/test/java/fordridge/machine/MachineConnectionPoolTest.java
@@ -70,7 +70,8 @@
   }
 
   /**
-   * Guards a VM that ran, was cut before its late answer came, and was placed once more elsewhere.
+   * Guards against placing a VM twice: it ran and was terminated before the late answer to its
+   * request arrived, and was then placed again elsewhere.
    */
   @Example
   void terminationOfAReportedVmEndsItUnanswered() {
@@ -111,7 +112,7 @@
   }
 
   @Example
-  void connectionIsClosedOnceTheMachineHasReadThatItsRequestIsCancelled() {
+  void connectionIsClosedOnceTheMachineHasReadTheCancellation() {
     PoolFixture fixture = new PoolFixture();
     PlacementAttempt attempt = fixture.offerAndConnect();
     MachineConnection connection = fixture.newestConnection();
@@ -124,7 +125,7 @@
     assertThat(fixture.outcomes).containsExactly(Map.entry(attempt, Outcome.TIMEOUT));
     fixture.pool.probeAnswered(connection, true, false, fixture.now);
     assertThat(fixture.connections).doesNotContain(connection);
-    assertThat(fixture.probeResults).as("asked for by the scheduler").isEmpty();
+    assertThat(fixture.probeResults).as("probes of the scheduler").isEmpty();
   }
 
   @Example
@@ -136,7 +137,7 @@
     assertThat(fixture.outcomes).containsExactly(Map.entry(unsent, Outcome.NOT_SENT));
     PlacementAttempt late = fixture.offer();
     assertThat(fixture.outcomes.get(late))
-        .as("decided before the notification")
+        .as("decided before the drain was received")
         .isEqualTo(Outcome.NOT_SENT);
     fixture.pool.vmAccepted(fixture.connections.get(0), sent.vm.id, "d", fixture.now);
     assertThat(fixture.accepted).containsOnlyKeys(sent);
@@ -193,7 +194,7 @@
   }
 
   @Example
-  void terminationIsSentOnceAndConcludedWithoutConfirmation() {
+  void terminationIsSentOnceAndEndsTheVmWithoutConfirmation() {
     PoolFixture fixture = new PoolFixture();
     PlacementAttempt attempt = fixture.startVm();
     fixture.pool.terminate(attempt, fixture.now);
@@ -205,8 +206,8 @@
   }
 
   /**
-   * Guards against a termination that was sent on no connection: the machine went on with a VM that
-   * no client has.
+   * Guards against a termination that is never sent because there was no connection: the machine
+   * kept running a VM without a client.
    */
   @Example
   void terminationWithoutAConnectionIsSentOnTheNext() {
@@ -226,8 +227,8 @@
   }
 
   /**
-   * Guards against two resets in a row of connections that just came up being taken for a failed
-   * machine.
+   * Guards against considering a machine failed because two connections in a row were reset just
+   * after they were established.
    */
   @Example
   void connectionsLostWhileOpeningDoNotFailTheMachine() {
@@ -268,7 +269,7 @@
     fixture.advance(500);
     fixture.offer();
     assertThat(fixture.connections)
-        .as("half a second after it was used it proves nothing")
+        .as("500 ms after its last use a connection is not known to work")
         .hasSize(2);
     fixture.idempotent = true;
     fixture.offer();
@@ -287,8 +288,7 @@
   }
 
   /**
-   * Whatever happens in whatever order: each attempt ends exactly once and is accepted at most
-   * once.
+   * For random sequences of events: each attempt ends exactly once and is accepted at most once.
    */
   @Property(tries = 300, seed = "1313")
   void everyAttemptEndsExactlyOnce(@ForAll long seed) {
@@ -296,15 +296,15 @@
     Random random = new Random(seed);
     List<PlacementAttempt> attempts = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
-      MachineConnection connection = anyOf(fixture.sent.keySet(), random);
-      PlacementAttempt attempt = anyOf(attempts, random);
+      MachineConnection connection = randomElement(fixture.sent.keySet(), random);
+      PlacementAttempt attempt = randomElement(attempts, random);
       switch (random.nextInt(11)) {
         case 0, 1 -> attempts.add(fixture.offer());
         case 2 -> fixture.advance(random.nextInt(400));
-        case 3 -> fixture.pool.machineListed(anyListedLifecycle(random), fixture.now);
+        case 3 -> fixture.pool.machineListed(randomLifecycle(random), fixture.now);
         default -> {
           if (connection != null && attempt != null) {
-            randomEvent(fixture, connection, attempt, random);
+            applyRandomEvent(fixture, connection, attempt, random);
           }
         }
       }
@@ -314,7 +314,7 @@
     assertThat(fixture.pool.isRetired()).isTrue();
   }
 
-  private static void randomEvent(
+  private static void applyRandomEvent(
       PoolFixture fixture, MachineConnection connection, PlacementAttempt attempt, Random random) {
     MachineConnectionPool pool = fixture.pool;
     switch (random.nextInt(9)) {
@@ -339,11 +339,11 @@
     }
   }
 
-  private static Machine.Lifecycle anyListedLifecycle(Random random) {
+  private static Machine.Lifecycle randomLifecycle(Random random) {
     return random.nextInt(3) == 0 ? Machine.Lifecycle.DRAINING : Machine.Lifecycle.LIVE;
   }
 
-  private static <T> T anyOf(Collection<T> items, Random random) {
+  private static <T> T randomElement(Collection<T> items, Random random) {
     return items.isEmpty() ? null : new ArrayList<>(items).get(random.nextInt(items.size()));
   }
 }
--- a/src/test/java/fordridge/machine/MachinePoolStub.java
+++ b/src/test/java/fordridge/machine/MachinePoolStub.java
@@ -7,7 +7,7 @@
 import fordridge.model.Vm;
 import java.time.Duration;
 
-/** A pool with a transport and a listener that do nothing; tests override what they look at. */
+/** A pool whose transport and listener do nothing; tests override the methods that they check. */
 abstract class MachinePoolStub implements MachineTransport, MachineConnectionListener {
   private static final ConnectionTimeouts TIMEOUTS =
       new ConnectionTimeouts(Duration.ofMillis(250), Duration.ofSeconds(3));
@@ -92,7 +92,7 @@
   @Override
   public void attemptEndedUnanswered(
       PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
-    throw new AssertionError("unexpected report on " + attempt.vm.id);
+    throw new AssertionError("unexpected unanswered end of " + attempt.vm.id);
   }
 
   @Override
--- a/src/test/java/fordridge/machine/MachineStreamTest.java
+++ b/src/test/java/fordridge/machine/MachineStreamTest.java
@@ -127,7 +127,7 @@
     fixture.receiveInventory(1);
     assertThat(fixture.stream.isQueueFull()).isTrue();
     assertThat(fixture.offer(true).outcome)
-        .as("the limit is the scheduler's: no word of the machine")
+        .as("the limit is the scheduler's own and says nothing about the machine")
         .isEqualTo(Outcome.NOT_SENT);
     fixture.isReady = true;
     fixture.stream.transportReady(fixture.now);
@@ -163,7 +163,7 @@
   }
 
   @Example
-  void vmsOfAnEarlierIncarnationAreReportedAndItsQueuedOnesCancelled() {
+  void runningVmsOfAnEarlierIncarnationAreReportedAndQueuedOnesCancelled() {
     StreamFixture fixture = new StreamFixture();
     fixture.stream.reconcile(fixture.now);
     fixture.receiveInventory(
@@ -195,33 +195,33 @@
   }
 
   /**
-   * With a machine that keeps the protocol, and any order of breaks, answers and machine lists: no
-   * attempt is left without an outcome.
+   * With a machine that follows the protocol and random sequences of stream failures, answers and
+   * machine lists: every attempt gets an outcome, and none that ran is counted as never run.
    */
   @Property(tries = 400, seed = "77")
   void everyAttemptEndsOnceAndNoneThatRanCountsAsNeverRun(@ForAll long seed) {
-    RandomPlay play = new RandomPlay(seed);
+    StreamSimulation simulation = new StreamSimulation(seed);
     for (int i = 0; i < 120; i++) {
-      play.step();
-      play.assertNoneThatRanCountsAsNeverRun();
+      simulation.step();
+      simulation.assertNoneThatRanCountsAsNeverRun();
     }
-    play.end();
-    for (PlacementAttempt attempt : play.attempts) {
+    simulation.finish();
+    for (PlacementAttempt attempt : simulation.attempts) {
       assertThat(attempt.outcome).as("left without an outcome").isNotNull();
     }
   }
 
-  /** A stream and a machine that keeps the protocol, driven by random events. */
-  private static final class RandomPlay {
+  /** A stream and a machine that follows the protocol, driven by random events. */
+  private static final class StreamSimulation {
     final StreamFixture fixture = new StreamFixture();
     final List<PlacementAttempt> attempts = new ArrayList<>();
     private final Random random;
-    private final Map<AttemptId, ReportedVm.State> onMachine = new HashMap<>();
+    private final Map<AttemptId, ReportedVm.State> statesOnMachine = new HashMap<>();
     private final Set<AttemptId> ran = new HashSet<>();
     private final Set<AttemptId> received = new HashSet<>();
     private long incarnation = 1;
 
-    RandomPlay(long seed) {
+    StreamSimulation(long seed) {
       random = new Random(seed);
     }
 
@@ -242,7 +242,7 @@
       }
     }
 
-    void end() {
+    void finish() {
       if (fixture.isOpen) {
         fixture.breakStream();
       }
@@ -257,11 +257,11 @@
       }
     }
 
-    /** Offers reach the machine while the stream is up; some are lost with it. */
+    /** Delivers the written offers to the machine; some are lost if the stream has broken. */
     private void receiveOffers() {
       for (AttemptId id : fixture.offered) {
         if (received.add(id) && (fixture.isOpen || random.nextBoolean())) {
-          onMachine.put(id, ReportedVm.State.QUEUED);
+          statesOnMachine.put(id, ReportedVm.State.QUEUED);
         }
       }
     }
@@ -269,14 +269,14 @@
     private void sendInventory() {
       if (fixture.stream.state() == MachineStream.State.CONNECTING) {
         List<ReportedVm> inventory = new ArrayList<>();
-        onMachine.forEach((id, state) -> inventory.add(StreamFixture.reported(id, state)));
+        statesOnMachine.forEach((id, state) -> inventory.add(StreamFixture.reported(id, state)));
         fixture.stream.inventoryReceived(incarnation, inventory, fixture.now);
       }
     }
 
     private void startQueued(AttemptId id) {
-      if (id != null && onMachine.get(id) == ReportedVm.State.QUEUED) {
-        onMachine.put(id, ReportedVm.State.RUNNING);
+      if (id != null && statesOnMachine.get(id) == ReportedVm.State.QUEUED) {
+        statesOnMachine.put(id, ReportedVm.State.RUNNING);
         ran.add(id);
         if (isEstablished() && random.nextInt(3) > 0) {
           fixture.stream.vmStarted(id);
@@ -285,8 +285,8 @@
     }
 
     private void rejectQueued(AttemptId id) {
-      if (id != null && onMachine.get(id) == ReportedVm.State.QUEUED) {
-        onMachine.put(id, ReportedVm.State.REJECTED);
+      if (id != null && statesOnMachine.get(id) == ReportedVm.State.QUEUED) {
+        statesOnMachine.put(id, ReportedVm.State.REJECTED);
         if (isEstablished()) {
           fixture.stream.attemptRejected(id, OutcomeReason.INSUFFICIENT_CORES, fixture.now);
         }
@@ -298,7 +298,7 @@
         fixture.breakStream();
         if (random.nextInt(4) == 0) {
           incarnation++;
-          onMachine.clear();
+          statesOnMachine.clear();
         }
       }
     }
@@ -310,7 +310,7 @@
       boolean neverSent = fixture.stream.cancel(attempt, fixture.now);
       Outcome outcome = neverSent ? Outcome.UNREACHABLE : Outcome.TIMEOUT;
       fixture.attemptEnded(attempt, outcome, OutcomeReason.UNSPECIFIED);
-      onMachine.replace(
+      statesOnMachine.replace(
           StreamFixture.idOf(attempt), ReportedVm.State.QUEUED, ReportedVm.State.REJECTED);
     }
 
--- a/src/test/java/fordridge/machine/PoolFixture.java
+++ b/src/test/java/fordridge/machine/PoolFixture.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A pool whose transport and listener record every call, and fail on what must never happen. */
+/** A pool whose transport and listener record all calls and fail on calls that must not happen. */
 final class PoolFixture extends MachinePoolStub {
   private static final Duration TICK = ms(50);
   private static final Duration TIME_LEFT = ms(1000);
@@ -25,11 +25,11 @@
   final Map<PlacementAttempt, Outcome> outcomes = new HashMap<>();
   final Map<PlacementAttempt, String> accepted = new HashMap<>();
   final List<PlacementAttempt> unanswered = new ArrayList<>();
-  final List<String> settled = new ArrayList<>();
+  final List<String> settledReleases = new ArrayList<>();
   final List<Boolean> probeResults = new ArrayList<>();
 
-  /** Attempts that may not be sent any more. */
-  final Set<PlacementAttempt> forbidden = new HashSet<>();
+  /** Attempts that must no longer be sent, as {@link #confirmSend} tells the pool. */
+  final Set<PlacementAttempt> unsendable = new HashSet<>();
 
   boolean isWritable = true;
   Duration now = ms(10_000);
@@ -81,7 +81,7 @@
 
   @Override
   public boolean confirmSend(PlacementAttempt attempt) {
-    return !forbidden.contains(attempt);
+    return !unsendable.contains(attempt);
   }
 
   @Override
@@ -129,7 +129,7 @@
 
   @Override
   public void releaseSettled(String vmId, Machine asked) {
-    settled.add(vmId);
+    settledReleases.add(vmId);
   }
 
   @Override
--- a/src/test/java/fordridge/machine/ReconnectPacerTest.java
+++ b/src/test/java/fordridge/machine/ReconnectPacerTest.java
@@ -15,9 +15,9 @@
   private static final int MACHINES = 100;
   private static final int MAX_CONCURRENT = 8;
 
-  /** Whatever answers, fails or leaves. */
+  /** For random sequences of inventories, failures and machines that leave the machine list. */
   @Property(tries = 200, seed = "4711")
-  void everyMachineIsConnectedToOnceAndFewAtATime(@ForAll long seed) {
+  void everyMachineIsConnectedToOnceAndAFewConcurrently(@ForAll long seed) {
     Random random = new Random(seed);
     ReconnectPacer<String> pacer = new ReconnectPacer<>();
     Set<String> all = new HashSet<>();
--- a/src/test/java/fordridge/machine/StreamFixture.java
+++ b/src/test/java/fordridge/machine/StreamFixture.java
@@ -16,7 +16,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A stream whose transport and listener record every call, and fail on what must never happen. */
+/**
+ * A stream whose transport and listener record all calls and fail on calls that must not happen.
+ */
 final class StreamFixture implements MachineStreamTransport, MachineStream.Listener {
   static final int MAX_QUEUED_OFFERS = 3;
   private static final Duration TIME_LEFT = ms(1000);
@@ -36,8 +38,8 @@
   final Set<AttemptId> offered = new HashSet<>();
   final List<ReportedVm> unknownVms = new ArrayList<>();
 
-  /** Attempts that may not be sent any more. */
-  final Set<PlacementAttempt> forbidden = new HashSet<>();
+  /** Attempts that must no longer be sent, as {@link #confirmSend} tells the stream. */
+  final Set<PlacementAttempt> unsendable = new HashSet<>();
 
   boolean isOpen;
   boolean isReady = true;
@@ -86,7 +88,7 @@
 
   @Override
   public boolean confirmSend(PlacementAttempt attempt) {
-    return !forbidden.contains(attempt);
+    return !unsendable.contains(attempt);
   }
 
   @Override
--- a/src/test/java/fordridge/machine/UnsettledAttemptsTest.java
+++ b/src/test/java/fordridge/machine/UnsettledAttemptsTest.java
@@ -13,19 +13,19 @@
 import java.util.Optional;
 import net.jqwik.api.Example;
 
-/** What is known of attempts that were given up, and when their VMs need no release any more. */
+/** When the VMs of attempts that were given up are released, and when these attempts settle. */
 class UnsettledAttemptsTest {
   private final PoolFixture fixture = new PoolFixture();
   private final PlacementAttempt attempt = fixture.offerAndConnect();
-  private final MachineConnection own = fixture.newestConnection();
-  private final MachineConnection other = otherConnection();
+  private final MachineConnection requestConnection = fixture.newestConnection();
+  private final MachineConnection otherConnection = openOtherConnection();
 
-  private MachineConnection otherConnection() {
+  private MachineConnection openOtherConnection() {
     fixture.startVm();
     return fixture.newestConnection();
   }
 
-  private long releases(MachineConnection connection) {
+  private long releaseCount(MachineConnection connection) {
     return fixture.sent.get(connection).stream().filter("terminate vm0"::equals).count();
   }
 
@@ -35,103 +35,103 @@
     return counts.values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  private void end(Outcome ifRunning) {
+  private void terminateOnOtherConnection(Outcome ifRunning) {
     fixture.pool.vmTerminated(
-        other,
+        otherConnection,
         new VmTermination(
             attempt.vm.id, Outcome.RESET, Optional.of(ifRunning), OutcomeReason.UNSPECIFIED),
         fixture.now);
   }
 
   @Example
-  void releasedOnAnotherConnectionAndSettledByTheCheckBehindIt() {
-    fixture.pool.connectionLost(own, fixture.now);
-    assertThat(fixture.sent.get(other)).endsWith("terminate vm0", "ping");
+  void releaseIsSentOnAnotherConnectionAndSettledByTheNextHealthCheck() {
+    fixture.pool.connectionLost(requestConnection, fixture.now);
+    assertThat(fixture.sent.get(otherConnection)).endsWith("terminate vm0", "ping");
     assertThat(unsettledCount()).isEqualTo(1);
-    fixture.pool.probeAnswered(other, true, false, fixture.now);
+    fixture.pool.probeAnswered(otherConnection, true, false, fixture.now);
     assertThat(unsettledCount()).isZero();
-    assertThat(fixture.settled).containsExactly("vm0");
-    assertThat(fixture.probeResults).as("of the scheduler").isEmpty();
+    assertThat(fixture.settledReleases).containsExactly("vm0");
+    assertThat(fixture.probeResults).as("probes of the scheduler").isEmpty();
   }
 
   @Example
-  void answerToAnEarlierCheckSettlesNothing() {
+  void answerToAnEarlierHealthCheckSettlesNothing() {
     fixture.pool.probe(fixture.now);
-    assertThat(fixture.sent.get(other)).endsWith("probe");
-    fixture.pool.connectionLost(own, fixture.now);
-    fixture.pool.probeAnswered(other, true, true, fixture.now);
+    assertThat(fixture.sent.get(otherConnection)).endsWith("probe");
+    fixture.pool.connectionLost(requestConnection, fixture.now);
+    fixture.pool.probeAnswered(otherConnection, true, true, fixture.now);
     assertThat(unsettledCount()).isEqualTo(1);
     assertThat(fixture.probeResults).containsExactly(true);
-    fixture.pool.probeAnswered(other, true, false, fixture.now);
+    fixture.pool.probeAnswered(otherConnection, true, false, fixture.now);
     assertThat(unsettledCount()).isZero();
   }
 
   @Example
   void withdrawalThatWasNotReadIsRepeated() {
     fixture.pool.cancel(attempt, Outcome.TIMEOUT, fixture.now);
-    assertThat(releases(other)).isZero();
-    fixture.pool.connectionLost(own, fixture.now);
-    assertThat(releases(other)).isEqualTo(1);
+    assertThat(releaseCount(otherConnection)).isZero();
+    fixture.pool.connectionLost(requestConnection, fixture.now);
+    assertThat(releaseCount(otherConnection)).isEqualTo(1);
   }
 
   @Example
   void withdrawalThatWasReadIsNotRepeated() {
     fixture.pool.cancel(attempt, Outcome.TIMEOUT, fixture.now);
-    fixture.pool.probeAnswered(own, true, false, fixture.now);
+    fixture.pool.probeAnswered(requestConnection, true, false, fixture.now);
     fixture.advance(2500);
     assertThat(unsettledCount()).isZero();
-    assertThat(releases(other)).isZero();
+    assertThat(releaseCount(otherConnection)).isZero();
   }
 
   @Example
-  void withdrawalToAMachineThatHangsIsRepeatedAfterTheCheckTimesOut() {
+  void withdrawalToAHangingMachineIsRepeatedAfterTheHealthCheckTimesOut() {
     fixture.pool.cancel(attempt, Outcome.TIMEOUT, fixture.now);
     fixture.advance(250 + 1500 + 100);
-    assertThat(releases(other)).isEqualTo(1);
+    assertThat(releaseCount(otherConnection)).isEqualTo(1);
   }
 
   @Example
   void lateAcceptanceIsReleasedAtOnce() {
     fixture.pool.cancel(attempt, Outcome.TIMEOUT, fixture.now);
-    fixture.pool.vmAccepted(own, attempt.vm.id, "d", fixture.now);
-    assertThat(releases(other)).isEqualTo(1);
+    fixture.pool.vmAccepted(requestConnection, attempt.vm.id, "d", fixture.now);
+    assertThat(releaseCount(otherConnection)).isEqualTo(1);
   }
 
   @Example
-  void endByTheReleaseIsNoEndOfTheVmItself() {
-    fixture.pool.connectionLost(own, fixture.now);
-    end(Outcome.CANCELLED);
+  void terminationByTheReleaseIsNotKeptForAdoption() {
+    fixture.pool.connectionLost(requestConnection, fixture.now);
+    terminateOnOtherConnection(Outcome.CANCELLED);
     assertThat(unsettledCount()).isZero();
-    assertThat(fixture.settled).containsExactly("vm0");
+    assertThat(fixture.settledReleases).containsExactly("vm0");
     assertThat(fixture.pool.isEndKept("vm0", fixture.now)).isFalse();
   }
 
   @Example
-  void endOfItsOwnIsKeptForItsOwner() {
-    fixture.pool.connectionLost(own, fixture.now);
-    end(Outcome.DONE);
+  void completionAfterTheReleaseIsKeptForAdoption() {
+    fixture.pool.connectionLost(requestConnection, fixture.now);
+    terminateOnOtherConnection(Outcome.DONE);
     assertThat(unsettledCount()).isZero();
     assertThat(fixture.pool.isEndKept("vm0", fixture.now)).isTrue();
   }
 
   @Example
-  void ownedAgainByAHandoverOrByAnotherAttemptAtTheMachine() {
+  void vmThatIsOfferedAgainToTheMachineIsNotReleased() {
     fixture.isWritable = false;
-    fixture.pool.connectionLost(own, fixture.now);
+    fixture.pool.connectionLost(requestConnection, fixture.now);
     PlacementAttempt again = new PlacementAttempt(attempt.vm, attempt.machine, 1, fixture.now);
     fixture.isWritable = true;
     fixture.pool.offer(again, Duration.ofSeconds(1), true, fixture.now);
-    assertThat(fixture.sent.get(other)).contains("new vm0");
+    assertThat(fixture.sent.get(otherConnection)).contains("new vm0");
     fixture.advance(100);
-    assertThat(releases(other)).as("while it is offered again").isZero();
-    fixture.pool.vmAccepted(other, "vm0", "d", fixture.now);
+    assertThat(releaseCount(otherConnection)).as("while it is offered again").isZero();
+    fixture.pool.vmAccepted(otherConnection, "vm0", "d", fixture.now);
     assertThat(unsettledCount()).isZero();
   }
 
   @Example
-  void goneWithItsMachineAndNotWhileThatIsOnlyUnreachable() {
-    fixture.pool.connectionLost(own, fixture.now);
-    fixture.pool.connectionLost(other, fixture.now);
+  void attemptIsSettledWhenTheMachineIsGoneButNotWhileItIsUnreachable() {
+    fixture.pool.connectionLost(requestConnection, fixture.now);
+    fixture.pool.connectionLost(otherConnection, fixture.now);
     for (int i = 0; i < 80; i++) {
       fixture.advance(100);
       for (MachineConnection opening : List.copyOf(fixture.connections)) {
@@ -139,17 +139,17 @@
         fixture.pool.connectionFailed(opening, ConnectFailure.UNREACHABLE, fixture.now);
       }
     }
-    assertThat(fixture.pool.runningVmCount()).as("told as lost").isZero();
+    assertThat(fixture.pool.runningVmCount()).as("reported as lost").isZero();
     assertThat(unsettledCount()).isEqualTo(2);
     fixture.pool.machineListed(Machine.Lifecycle.GONE, fixture.now);
     assertThat(unsettledCount()).isZero();
   }
 
   @Example
-  void boundedAndTheOldestGivesWay() {
+  void oldestAttemptIsDisplacedAtTheLimit() {
     for (int i = 0; i < UnsettledAttempts.MAX_ENTRIES + 10; i++) {
       fixture.isWritable = false;
-      fixture.pool.vmAccepted(other, "asked" + i, "d", fixture.now);
+      fixture.pool.vmAccepted(otherConnection, "asked" + i, "d", fixture.now);
     }
     assertThat(unsettledCount()).isEqualTo(UnsettledAttempts.MAX_ENTRIES);
     assertThat(fixture.pool.unsettled().displacedCount()).isEqualTo(10);
--- a/src/test/java/fordridge/machine/VmExecutionsTest.java
+++ b/src/test/java/fordridge/machine/VmExecutionsTest.java
@@ -10,27 +10,30 @@
 import java.util.Optional;
 import net.jqwik.api.Example;
 
-/** What each word of a machine means for a VM, by what is known of it and where the word comes. */
+/**
+ * The effect of each message of a machine on a VM, depending on the VM's state and on the
+ * connection that receives the message.
+ */
 class VmExecutionsTest {
   private final PoolFixture fixture = new PoolFixture();
   private final PlacementAttempt attempt = fixture.offerAndConnect();
-  private final MachineConnection own = fixture.newestConnection();
-  private final MachineConnection other = otherConnection();
+  private final MachineConnection requestConnection = fixture.newestConnection();
+  private final MachineConnection otherConnection = openOtherConnection();
 
-  private MachineConnection otherConnection() {
+  private MachineConnection openOtherConnection() {
     fixture.offerAndConnect();
     return fixture.newestConnection();
   }
 
-  private void terminate(MachineConnection heardOn, Outcome ifRunning, OutcomeReason reason) {
+  private void terminate(MachineConnection receivedOn, Outcome ifRunning, OutcomeReason reason) {
     fixture.pool.vmTerminated(
-        heardOn,
+        receivedOn,
         new VmTermination(attempt.vm.id, Outcome.RESET, Optional.of(ifRunning), reason),
         fixture.now);
   }
 
-  private void accept(MachineConnection heardOn) {
-    fixture.pool.vmAccepted(heardOn, attempt.vm.id, "d", fixture.now);
+  private void accept(MachineConnection receivedOn) {
+    fixture.pool.vmAccepted(receivedOn, attempt.vm.id, "d", fixture.now);
   }
 
   private void assertEndedUnanswered(Outcome outcome) {
@@ -40,63 +43,63 @@
   }
 
   @Example
-  void endOnAnotherConnectionEndsAnUnansweredRequest() {
-    terminate(other, Outcome.DONE, OutcomeReason.UNSPECIFIED);
+  void terminationOnAnotherConnectionEndsAnUnansweredRequest() {
+    terminate(otherConnection, Outcome.DONE, OutcomeReason.UNSPECIFIED);
     assertEndedUnanswered(Outcome.DONE);
-    accept(own);
-    assertThat(fixture.accepted).as("the answer that was overtaken").isEmpty();
+    accept(requestConnection);
+    assertThat(fixture.accepted).as("accepted by the late answer").isEmpty();
   }
 
   @Example
   void resetOnAnotherConnectionEndsAnUnansweredRequest() {
-    terminate(other, Outcome.RESET, OutcomeReason.UNSPECIFIED);
+    terminate(otherConnection, Outcome.RESET, OutcomeReason.UNSPECIFIED);
     assertEndedUnanswered(Outcome.RESET);
   }
 
   @Example
-  void endThatOnlyARunningVmHasEndsAnUnansweredRequest() {
+  void terminationThatProvesExecutionEndsAnUnansweredRequest() {
     for (OutcomeReason reason :
         List.of(OutcomeReason.DRAINED, OutcomeReason.EVICTED, OutcomeReason.PREEMPTED)) {
-      VmExecutionsTest each = new VmExecutionsTest();
-      each.terminate(each.own, Outcome.RESET, reason);
-      each.assertEndedUnanswered(Outcome.RESET);
+      VmExecutionsTest test = new VmExecutionsTest();
+      test.terminate(test.requestConnection, Outcome.RESET, reason);
+      test.assertEndedUnanswered(Outcome.RESET);
     }
-    terminate(own, Outcome.DONE, OutcomeReason.UNSPECIFIED);
+    terminate(requestConnection, Outcome.DONE, OutcomeReason.UNSPECIFIED);
     assertEndedUnanswered(Outcome.DONE);
   }
 
   @Example
-  void bareResetOfAnUnansweredRequestProvesNothing() {
-    terminate(own, Outcome.RESET, OutcomeReason.UNSPECIFIED);
+  void resetWithoutAReasonDoesNotProveExecution() {
+    terminate(requestConnection, Outcome.RESET, OutcomeReason.UNSPECIFIED);
     assertThat(fixture.unanswered).isEmpty();
     assertThat(fixture.outcomes).containsEntry(attempt, Outcome.RESET);
   }
 
   @Example
   void lostConnectionAfterAReportOnAnyConnectionEndsTheRequestUnanswered() {
-    fixture.pool.vmReported(other, attempt.vm.id);
-    fixture.pool.connectionLost(own, fixture.now);
+    fixture.pool.vmReported(otherConnection, attempt.vm.id);
+    fixture.pool.connectionLost(requestConnection, fixture.now);
     assertEndedUnanswered(Outcome.RESET);
     assertThat(attempt.mayStillRun).isTrue();
   }
 
   @Example
-  void acceptanceOnAnotherConnectionIsTaken() {
-    accept(other);
+  void acceptanceOnAnotherConnectionCounts() {
+    accept(otherConnection);
     assertThat(fixture.accepted).containsOnlyKeys(attempt);
-    accept(own);
-    assertThat(fixture.outcomes).as("the answer's second copy").isEmpty();
+    accept(requestConnection);
+    assertThat(fixture.outcomes).as("a duplicate answer has no effect").isEmpty();
   }
 
   @Example
-  void wordsOnTheConnectionOfAWithdrawnRequestAreNotOfTheNextOne() {
+  void messagesOnTheConnectionOfAWithdrawnRequestDoNotReferToTheNextRequest() {
     fixture.pool.cancel(attempt, Outcome.TIMEOUT, fixture.now);
     PlacementAttempt next = new PlacementAttempt(attempt.vm, attempt.machine, 1, fixture.now);
     attempt.vm.attempts.add(next);
     fixture.pool.offer(next, Duration.ofSeconds(1), false, fixture.now);
     fixture.pool.connectionEstablished(fixture.newestConnection(), fixture.now);
-    accept(own);
-    terminate(own, Outcome.DONE, OutcomeReason.UNSPECIFIED);
+    accept(requestConnection);
+    terminate(requestConnection, Outcome.DONE, OutcomeReason.UNSPECIFIED);
     assertThat(fixture.accepted).isEmpty();
     assertThat(fixture.outcomes).containsOnlyKeys(attempt);
     accept(fixture.newestConnection());
@@ -104,8 +107,8 @@
   }
 
   @Example
-  void handoverTakesThePlaceOfATerminationAndOfItsDeadline() {
-    accept(own);
+  void handoverReplacesATerminationAndItsDeadline() {
+    accept(requestConnection);
     fixture.pool.terminate(attempt, fixture.now);
     fixture.pool.supersede(attempt.vm.id);
     assertThat(fixture.outcomes).containsEntry(attempt, Outcome.CANCELLED);
@@ -115,14 +118,16 @@
       fixture.pool.messageReceived(fixture.now);
       fixture.advance(1000);
     }
-    assertThat(fixture.outcomes).as("given up with the former attempt").doesNotContainKey(adopted);
+    assertThat(fixture.outcomes)
+        .as("ended by the deadline of the former attempt")
+        .doesNotContainKey(adopted);
   }
 
   @Example
-  void acknowledgedTerminationIsOver() {
-    accept(own);
+  void acknowledgedTerminationEndsTheVm() {
+    accept(requestConnection);
     fixture.pool.terminationAcknowledged(attempt.vm.id);
-    assertThat(fixture.outcomes).as("nobody has asked for it").isEmpty();
+    assertThat(fixture.outcomes).as("no termination was requested").isEmpty();
     fixture.pool.terminate(attempt, fixture.now);
     fixture.pool.terminationAcknowledged(attempt.vm.id);
     assertThat(fixture.outcomes).containsEntry(attempt, Outcome.CANCELLED);
@@ -130,10 +135,10 @@
   }
 
   @Example
-  void endOfAnUnknownVmIsKeptForItsOwnerAlsoAmongMany() {
+  void terminationOfAnUnknownVmIsKeptForAdoptionAmongMany() {
     for (int i = 0; i < 700; i++) {
       fixture.pool.vmTerminated(
-          other,
+          otherConnection,
           new VmTermination(
               "earlier" + i, Outcome.RESET, Optional.of(Outcome.DONE), OutcomeReason.UNSPECIFIED),
           fixture.now);
--- a/src/test/java/fordridge/machine/WaitingOfferTest.java
+++ b/src/test/java/fordridge/machine/WaitingOfferTest.java
@@ -9,16 +9,17 @@
 import net.jqwik.api.Example;
 
 /**
- * An offer that waits, for its connection or behind other output, is confirmed at the instant of
- * its first byte; one that may not go any more ends as not sent and leaves the connection as it is.
+ * A queued offer, which waits for its connection or for earlier output, is confirmed immediately
+ * before its first byte is written. One that must no longer be sent ends as NOT_SENT and leaves the
+ * connection usable.
  */
 class WaitingOfferTest {
   private final PoolFixture fixture = new PoolFixture();
 
   @Example
-  void offerThatMayNotGoWhenItsConnectionComesUpIsNotSent() {
+  void unconfirmedOfferIsNotSentWhenItsConnectionIsEstablished() {
     PlacementAttempt attempt = fixture.offer();
-    fixture.forbidden.add(attempt);
+    fixture.unsendable.add(attempt);
 
     fixture.pool.connectionEstablished(fixture.newestConnection(), fixture.now);
 
@@ -30,7 +31,7 @@
   }
 
   @Example
-  void offerWaitsWhileEarlierOutputHasNotGoneOut() {
+  void offerIsQueuedWhileEarlierOutputIsPending() {
     fixture.maxConnections = 1;
     PlacementAttempt first = fixture.offerAndConnect();
     fixture.isWritable = false;
@@ -39,7 +40,7 @@
     MachineConnection connection = fixture.newestConnection();
     assertThat(fixture.sent.get(connection)).containsExactly("new " + first.vm.id);
 
-    fixture.forbidden.add(second);
+    fixture.unsendable.add(second);
     fixture.isWritable = true;
     fixture.pool.connectionWritable(connection, fixture.now);
 
@@ -49,7 +50,7 @@
   }
 
   @Example
-  void whatWaitsBehindOutputHasNotRunWhenItsConnectionBreaks() {
+  void queuedOfferHasNotRunWhenItsConnectionBreaks() {
     fixture.maxConnections = 1;
     PlacementAttempt sent = fixture.offerAndConnect();
     fixture.isWritable = false;
@@ -63,7 +64,7 @@
   }
 
   @Example
-  void whatWaitsBehindOutputIsCancelledWithoutAWordToTheMachine() {
+  void queuedOfferIsCancelledWithoutAMessageToTheMachine() {
     fixture.maxConnections = 1;
     PlacementAttempt sent = fixture.offerAndConnect();
     fixture.isWritable = false;
@@ -76,16 +77,16 @@
   }
 
   @Example
-  void offerQueuedOnAStreamIsConfirmedWhenTheMachineHasSaidWhatItRuns() {
+  void offerQueuedOnAStreamIsConfirmedAfterTheInventory() {
     StreamFixture stream = new StreamFixture();
-    PlacementAttempt forbidden = stream.offer(false);
-    PlacementAttempt allowed = stream.offer(false);
-    stream.forbidden.add(forbidden);
+    PlacementAttempt unsendable = stream.offer(false);
+    PlacementAttempt sendable = stream.offer(false);
+    stream.unsendable.add(unsendable);
 
     stream.receiveInventory(1);
 
-    assertThat(stream.outcomes).containsEntry(forbidden, Outcome.NOT_SENT);
-    assertThat(List.copyOf(stream.offered)).containsExactly(StreamFixture.idOf(allowed));
+    assertThat(stream.outcomes).containsEntry(unsendable, Outcome.NOT_SENT);
+    assertThat(List.copyOf(stream.offered)).containsExactly(StreamFixture.idOf(sendable));
     assertThat(stream.now).isEqualTo(Duration.ZERO);
   }
 }
