--- a/src/main/java/fordridge/machine/ExecutionEvidence.java
+++ b/src/main/java/fordridge/machine/ExecutionEvidence.java
@@ -13,7 +13,10 @@
    * the machine's health: the VM never ran.
    */
   WITHDRAWN_BEFORE_SEND(Outcome.NOT_SENT),
-  /** The connection failed before the placement request was written: the VM never ran. */
+  /**
+   * The placement request was not written, because the connection failed or was not ready in time:
+   * the VM never ran.
+   */
   NEVER_SENT(Outcome.UNREACHABLE),
   /** The placement request was written and not answered: the VM may have run or be running. */
   MAY_HAVE_RUN(Outcome.RESET),
