--- a/src/main/java/fordridge/eventloop/EventLoopLagMonitor.java
+++ b/src/main/java/fordridge/eventloop/EventLoopLagMonitor.java
@@ -37,7 +37,7 @@
     timers.runAfter(
         SAMPLE_INTERVAL,
         () -> {
-          lag.seen(overdue(), clock.get());
+          lag.seen(sampleDelay(), clock.get());
           start();
         });
   }
@@ -48,7 +48,7 @@
    * that is overdue counts already.
    */
   public Duration allowance(Duration at) {
-    return Durations.max(lag.allowance(at), overdue());
+    return Durations.max(lag.allowance(at), sampleDelay());
   }
 
   /**
@@ -59,7 +59,7 @@
     return Durations.max(allowance(at), sincePreviousPoll.minus(SAMPLE_INTERVAL));
   }
 
-  private Duration overdue() {
+  private Duration sampleDelay() {
     long lateNanos = sampleDueNanos == 0 ? 0 : System.nanoTime() - sampleDueNanos;
     return Duration.ofNanos(Math.max(0, lateNanos));
   }
--- a/src/main/java/fordridge/eventloop/InputGate.java
+++ b/src/main/java/fordridge/eventloop/InputGate.java
@@ -41,7 +41,7 @@
   }
 
   /** How old the last complete read may be, by the process's own clock. */
-  static final Duration MAX_AGE = Duration.ofMillis(20);
+  static final Duration MAX_READ_AGE = Duration.ofMillis(20);
 
   /** A read that takes longer goes on in the next turn: timers are due meanwhile. */
   private static final Duration MAX_READ_TIME = Duration.ofMillis(100);
@@ -144,31 +144,31 @@
   }
 
   private boolean isFresh() {
-    return readAt != null && port.clock().minus(readAt).compareTo(MAX_AGE) < 0;
+    return readAt != null && port.clock().minus(readAt).compareTo(MAX_READ_AGE) < 0;
   }
 
   private ReadResult readAll() {
     Duration startedAt = port.clock();
-    Duration passAt = startedAt;
+    Duration passStartedAt = startedAt;
     ReadResult result = ReadResult.MORE_MAY_WAIT;
     while (result == ReadResult.MORE_MAY_WAIT
-        && passAt.minus(startedAt).compareTo(MAX_READ_TIME) < 0) {
+        && passStartedAt.minus(startedAt).compareTo(MAX_READ_TIME) < 0) {
       result = port.readSockets();
-      readAt = result == ReadResult.TO_THE_END ? passAt : readAt;
-      passAt = port.clock();
+      readAt = result == ReadResult.TO_THE_END ? passStartedAt : readAt;
+      passStartedAt = port.clock();
     }
     port.refreshTime();
-    record(result, passAt.minus(startedAt));
+    record(result, passStartedAt.minus(startedAt));
     return result;
   }
 
-  private void record(ReadResult result, Duration took) {
+  private void record(ReadResult result, Duration duration) {
     switch (result) {
       case TO_THE_END -> completeReads++;
       case MORE_MAY_WAIT -> incompleteReads++;
       case REFUSED -> refusedReads++;
     }
-    longestRead = took.compareTo(longestRead) > 0 ? took : longestRead;
+    longestRead = duration.compareTo(longestRead) > 0 ? duration : longestRead;
   }
 
   /** Reads since the start, for the status line. */
--- a/src/main/java/fordridge/eventloop/PolledEventLoops.java
+++ b/src/main/java/fordridge/eventloop/PolledEventLoops.java
@@ -21,7 +21,7 @@
 
   /** Starts so many loops; slow turns are logged. */
   public PolledEventLoops(int threads, Consumer<String> log) {
-    IoHandlerFactory sockets = NioIoHandler.newFactory();
+    IoHandlerFactory nioHandlers = NioIoHandler.newFactory();
     group =
         new MultiThreadIoEventLoopGroup(
             threads,
@@ -29,7 +29,7 @@
               SocketPoller poller = new SocketPoller();
               pollers.put(executor, poller);
               LoopTurnMonitor monitor = new LoopTurnMonitor(new InputStatistics(), log);
-              return MonitoredIoHandler.newFactory(sockets, monitor, poller).newHandler(executor);
+              return MonitoredIoHandler.newFactory(nioHandlers, monitor, poller).newHandler(executor);
             });
   }
 
--- a/src/main/java/fordridge/group/VmGroup.java
+++ b/src/main/java/fordridge/group/VmGroup.java
@@ -137,7 +137,7 @@
     return switch (state) {
       case FORMING -> false;
       case ACCEPTED -> true;
-      case FAILED -> members.values().stream().allMatch(m -> m.state == MemberState.SETTLED);
+      case FAILED -> members.values().stream().allMatch(member -> member.state == MemberState.SETTLED);
     };
   }
 
@@ -149,7 +149,7 @@
     }
     if (state == GroupState.FAILED) {
       actions.stop(vm);
-      settleAndFail(vm, true, failureReason);
+      settleMemberAndFailGroup(vm, true, failureReason);
       return;
     }
     member.state = MemberState.ACCEPTED;
@@ -162,12 +162,12 @@
 
   /** The scheduler rejected a member: it never ran, or running it again does no harm. */
   public void memberRejected(String vm, String reason) {
-    settleAndFail(vm, false, reason);
+    settleMemberAndFailGroup(vm, false, reason);
   }
 
   /** The scheduler failed a member: it may have run. */
   public void memberFailed(String vm, String reason) {
-    settleAndFail(vm, true, reason);
+    settleMemberAndFailGroup(vm, true, reason);
   }
 
   /**
@@ -202,7 +202,7 @@
     }
   }
 
-  private void settleAndFail(String vm, boolean mayHaveRun, String reason) {
+  private void settleMemberAndFailGroup(String vm, boolean mayHaveRun, String reason) {
     Member member = members.get(vm);
     if (member == null || member.state == MemberState.SETTLED) {
       return;
--- a/src/main/java/fordridge/json/AcceptRetryHandler.java
+++ b/src/main/java/fordridge/json/AcceptRetryHandler.java
@@ -17,7 +17,7 @@
   private static final Duration RETRY_DELAY = Duration.ofMillis(5);
 
   /** A failure so long after the one before begins a new row. */
-  private static final Duration ROW_GAP = Duration.ofMillis(200);
+  private static final Duration SERIES_GAP = Duration.ofMillis(200);
 
   private final EventLoopTimers timers;
   private final IntConsumer onCycleCompleted;
@@ -60,7 +60,7 @@
   }
 
   private void recordFailure(long nowNanos) {
-    if (failureCount == 1 || nowNanos - lastFailureNanos > ROW_GAP.toNanos()) {
+    if (failureCount == 1 || nowNanos - lastFailureNanos > SERIES_GAP.toNanos()) {
       firstFailureNanos = nowNanos;
     }
     lastFailureNanos = nowNanos;
--- a/src/main/java/fordridge/json/ClientConnection.java
+++ b/src/main/java/fordridge/json/ClientConnection.java
@@ -45,7 +45,7 @@
 
   /** Reads what has come by now, not only when the loop gets to this connection. */
   void readNow() {
-    if (channel instanceof AbstractNioChannel nioChannel && channel.isActive() && isRead()) {
+    if (channel instanceof AbstractNioChannel nioChannel && channel.isActive() && isReadingEnabled()) {
       nioChannel.unsafe().read();
     }
   }
@@ -63,7 +63,7 @@
   }
 
   /** Whether what its client sends is still taken in. */
-  boolean isRead() {
+  boolean isReadingEnabled() {
     return !isReadingStopped;
   }
 
@@ -86,7 +86,7 @@
 
   @Override
   void messageReceived(
-      String type, String id, Map<String, Object> fields, int cause, String description) {
+      String type, String id, Map<String, Object> fields, int code, String description) {
     if (isReadingStopped) {
       return;
     }
--- a/src/main/java/fordridge/json/ClientServer.java
+++ b/src/main/java/fordridge/json/ClientServer.java
@@ -55,13 +55,13 @@
   private final Map<ClientConnection, Long> unreadSinceNanos = new HashMap<>();
 
   /** Of these, the ones that the last pass has read, and not to their end. */
-  private final Set<ClientConnection> leftUnreadInPass = new LinkedHashSet<>();
+  private final Set<ClientConnection> partlyReadInPass = new LinkedHashSet<>();
 
   /** Of these, the ones that have been so for too long. */
   private final Set<ClientConnection> unreadTooLong = new LinkedHashSet<>();
 
   private long unreadTooLongCount;
-  private boolean mayHoldUnaccepted;
+  private boolean mayHaveUnaccepted;
 
   /** Connections with output that was written and not flushed yet. */
   private final Set<ClientConnection> unflushed = new LinkedHashSet<>();
@@ -81,7 +81,7 @@
     this.maxConnections = maxConnections;
     acceptRetry =
         new AcceptRetryHandler(
-            timers, accepted -> mayHoldUnaccepted = accepted >= MAX_ACCEPTS_PER_CYCLE);
+            timers, accepted -> mayHaveUnaccepted = accepted >= MAX_ACCEPTS_PER_CYCLE);
   }
 
   /** Starts to listen; the future completes once the address is bound. */
@@ -135,15 +135,15 @@
 
   /** A pass over all sockets that are ready begins: what it does not read has nothing to read. */
   public void startReadPass() {
-    mayHoldUnaccepted = false;
-    leftUnreadInPass.clear();
+    mayHaveUnaccepted = false;
+    partlyReadInPass.clear();
   }
 
   /** Whether connections may wait to be accepted, or input to be read, after the last pass. */
   public boolean hasUnreadInput() {
-    unreadSinceNanos.keySet().retainAll(leftUnreadInPass);
-    unreadTooLong.retainAll(leftUnreadInPass);
-    if (mayHoldUnaccepted) {
+    unreadSinceNanos.keySet().retainAll(partlyReadInPass);
+    unreadTooLong.retainAll(partlyReadInPass);
+    if (mayHaveUnaccepted) {
       return true;
     }
     for (ClientConnection connection : unreadSinceNanos.keySet()) {
@@ -175,12 +175,12 @@
 
   /** A connection was read, to its end or not; one that is not read any more holds up nothing. */
   void readCycleCompleted(ClientConnection connection, boolean isReadToEnd) {
-    if (isReadToEnd || !connection.isRead() || !connections.contains(connection)) {
+    if (isReadToEnd || !connection.isReadingEnabled() || !connections.contains(connection)) {
       unreadSinceNanos.remove(connection);
-      leftUnreadInPass.remove(connection);
+      partlyReadInPass.remove(connection);
     } else {
       unreadSinceNanos.putIfAbsent(connection, System.nanoTime());
-      leftUnreadInPass.add(connection);
+      partlyReadInPass.add(connection);
     }
   }
 
@@ -251,7 +251,7 @@
     connections.add(connection);
     // Ends with the newcomer: after a reload with a lower limit more may be in use than it allows.
     for (int tries = connections.size(); isOverLimitWith(connection); tries--) {
-      makeRoomFor(connection, tries > 0);
+      closeIdlestConnection(connection, tries > 0);
     }
     // Only now: what is read has to be answered, and a newcomer may have been closed.
     if (connections.contains(connection)) {
@@ -259,14 +259,14 @@
     }
   }
 
-  private boolean isOverLimitWith(ClientConnection newcomer) {
-    return connections.size() > maxConnections && connections.contains(newcomer);
+  private boolean isOverLimitWith(ClientConnection newConnection) {
+    return connections.size() > maxConnections && connections.contains(newConnection);
   }
 
   /** Passes on the first call for each connection. */
   void connectionClosed(ClientConnection connection, CloseReason reason) {
     unreadSinceNanos.remove(connection);
-    leftUnreadInPass.remove(connection);
+    partlyReadInPass.remove(connection);
     unreadTooLong.remove(connection);
     if (connections.remove(connection)) {
       closeCounts.merge(reason, 1L, Long::sum);
@@ -292,11 +292,11 @@
     }
     // Where the loop was late, a request may have come long ago: the sockets are read first.
     if (!idle.isEmpty()) {
-      timers.runAfter(Duration.ZERO, () -> closeThoseStillIdle(idle));
+      timers.runAfter(Duration.ZERO, () -> closeIfStillIdle(idle));
     }
   }
 
-  private void closeThoseStillIdle(List<ClientConnection> candidates) {
+  private void closeIfStillIdle(List<ClientConnection> candidates) {
     for (ClientConnection connection : candidates) {
       if (isIdle(connection)) {
         connection.close(CloseReason.IDLE);
@@ -313,10 +313,10 @@
    * Closes the connection that was idle longest, unless it is found in use; the newcomer itself if
    * all others are in use.
    */
-  private void makeRoomFor(ClientConnection newcomer, boolean mayCloseOthers) {
-    ClientConnection idlest = mayCloseOthers ? idlestBut(newcomer) : newcomer;
+  private void closeIdlestConnection(ClientConnection newConnection, boolean mayCloseOthers) {
+    ClientConnection idlest = mayCloseOthers ? idlestExcept(newConnection) : newConnection;
     long usedNanos = idlest.lastUsedNanos();
-    if (idlest != newcomer) {
+    if (idlest != newConnection) {
       // A handover may wait in its socket, and would be lost with it.
       idlest.readNow();
     }
@@ -326,12 +326,12 @@
     }
   }
 
-  private ClientConnection idlestBut(ClientConnection newcomer) {
-    ClientConnection idlest = newcomer;
+  private ClientConnection idlestExcept(ClientConnection newConnection) {
+    ClientConnection idlest = newConnection;
     for (ClientConnection connection : connections) {
-      if (connection != newcomer
+      if (connection != newConnection
           && !handler.isInUse(connection)
-          && (idlest == newcomer || connection.lastUsedNanos() < idlest.lastUsedNanos())) {
+          && (idlest == newConnection || connection.lastUsedNanos() < idlest.lastUsedNanos())) {
         idlest = connection;
       }
     }
--- a/src/main/java/fordridge/json/EndpointWatcher.java
+++ b/src/main/java/fordridge/json/EndpointWatcher.java
@@ -76,7 +76,7 @@
         return;
       }
       lastReceivedNanos = System.nanoTime();
-      isTakingLine = true;
+      isHandlingLine = true;
       try {
         lineReceived(line.toString(StandardCharsets.UTF_8).trim());
       } catch (MalformedInputException | NumberFormatException | IOException e) {
@@ -84,9 +84,9 @@
         isInputRejected = true;
         close();
       } finally {
-        isTakingLine = false;
+        isHandlingLine = false;
       }
-      firstHeard();
+      runFirstContactTask();
     }
 
     @Override
@@ -132,10 +132,10 @@
   /** The last attempt to connect has failed. */
   private boolean isUnreachable;
 
-  private Runnable onFirstHeard = () -> {};
+  private Runnable onFirstContact = () -> {};
 
   /** A line is being taken: nothing may be read from within, or events would be taken twice. */
-  private boolean isTakingLine;
+  private boolean isHandlingLine;
 
   /** Creates a watcher that has the events up to {@code position} and follows no server yet. */
   public EndpointWatcher(
@@ -176,12 +176,12 @@
    * what happened between the making of the configuration and the watch is then known.
    */
   public void whenFirstHeard(Runnable task) {
-    onFirstHeard = task;
+    onFirstContact = task;
   }
 
-  private void firstHeard() {
-    Runnable task = onFirstHeard;
-    onFirstHeard = () -> {};
+  private void runFirstContactTask() {
+    Runnable task = onFirstContact;
+    onFirstContact = () -> {};
     task.run();
   }
 
@@ -190,7 +190,7 @@
    * none is open, or from within {@link Listener#machineListChanged}.
    */
   public void readNow() {
-    if (!isTakingLine
+    if (!isHandlingLine
         && current != null
         && current.channel instanceof AbstractNioChannel channel
         && channel.isActive()) {
@@ -263,7 +263,7 @@
         outcome -> {
           if (!outcome.isSuccess()) {
             logConnectFailure(outcome.cause());
-            firstHeard();
+            runFirstContactTask();
             reconnectLater(handler);
           }
         });
--- a/src/main/java/fordridge/json/JsonFields.java
+++ b/src/main/java/fordridge/json/JsonFields.java
@@ -132,8 +132,8 @@
     return in.getLongValue();
   }
 
-  private static Object require(Map<String, Object> from, String name, String path) {
-    Object value = from.get(name);
+  private static Object require(Map<String, Object> fields, String name, String path) {
+    Object value = fields.get(name);
     if (value == null) {
       throw MalformedInputException.missing(path, name);
     }
@@ -141,8 +141,8 @@
   }
 
   /** A required whole number. */
-  public static long whole(Map<String, Object> from, String name, String path) {
-    Object value = require(from, name, path);
+  public static long whole(Map<String, Object> fields, String name, String path) {
+    Object value = require(fields, name, path);
     if (value instanceof Long number) {
       return number;
     }
@@ -150,13 +150,13 @@
   }
 
   /** A whole number, or {@code absent}. */
-  public static long whole(Map<String, Object> from, String name, String path, long absent) {
-    return from.get(name) == null ? absent : whole(from, name, path);
+  public static long whole(Map<String, Object> fields, String name, String path, long defaultValue) {
+    return fields.get(name) == null ? defaultValue : whole(fields, name, path);
   }
 
   /** A required number. */
-  public static double number(Map<String, Object> from, String name, String path) {
-    Object value = require(from, name, path);
+  public static double number(Map<String, Object> fields, String name, String path) {
+    Object value = require(fields, name, path);
     if (value instanceof Number number) {
       return number.doubleValue();
     }
@@ -164,13 +164,13 @@
   }
 
   /** A number, or {@code absent}. */
-  public static double number(Map<String, Object> from, String name, String path, double absent) {
-    return from.get(name) == null ? absent : number(from, name, path);
+  public static double number(Map<String, Object> fields, String name, String path, double defaultValue) {
+    return fields.get(name) == null ? defaultValue : number(fields, name, path);
   }
 
   /** A required string. */
-  public static String text(Map<String, Object> from, String name, String path) {
-    Object value = require(from, name, path);
+  public static String text(Map<String, Object> fields, String name, String path) {
+    Object value = require(fields, name, path);
     if (value instanceof String text) {
       return text;
     }
@@ -178,13 +178,13 @@
   }
 
   /** A string, or {@code absent}. */
-  public static String text(Map<String, Object> from, String name, String path, String absent) {
-    return from.get(name) == null ? absent : text(from, name, path);
+  public static String text(Map<String, Object> fields, String name, String path, String defaultValue) {
+    return fields.get(name) == null ? defaultValue : text(fields, name, path);
   }
 
   /** True or false; false if absent. */
-  public static boolean flag(Map<String, Object> from, String name, String path) {
-    Object value = from.get(name);
+  public static boolean flag(Map<String, Object> fields, String name, String path) {
+    Object value = fields.get(name);
     if (value == null) {
       return false;
     }
@@ -206,8 +206,8 @@
 
   /** A required array. */
   @SuppressWarnings("unchecked")
-  public static List<Object> list(Map<String, Object> from, String name, String path) {
-    Object value = require(from, name, path);
+  public static List<Object> list(Map<String, Object> fields, String name, String path) {
+    Object value = require(fields, name, path);
     if (value instanceof List<?>) {
       return (List<Object>) value;
     }
--- a/src/main/java/fordridge/json/LineCodec.java
+++ b/src/main/java/fordridge/json/LineCodec.java
@@ -31,13 +31,13 @@
   static final int NO_CODE = -1;
 
   private static final int MAX_CODE = 127;
-  private static final int USUAL_LINE_BYTES = 256;
+  private static final int INITIAL_LINE_BYTES = 256;
   private static final JsonFactory FACTORY = new JsonFactory();
   private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
   private static final Map<String, Object> NO_FIELDS = Map.of();
 
   /** For diagnosis: {@code -Dfordridge.trace=true} writes every line to standard error. */
-  private static final boolean IS_TRACING = Boolean.getBoolean("fordridge.trace");
+  private static final boolean TRACE_ENABLED = Boolean.getBoolean("fordridge.trace");
 
   private boolean isInputRejected;
 
@@ -64,7 +64,7 @@
     }
     lineReceived();
     try {
-      if (IS_TRACING) {
+      if (TRACE_ENABLED) {
         trace(ctx.channel(), "< " + line.toString(StandardCharsets.UTF_8).trim());
       }
       decode(line);
@@ -124,7 +124,7 @@
   /** Takes no more input from this connection. */
   final void rejectInput(String reason) {
     if (!isInputRejected) {
-      if (IS_TRACING) {
+      if (TRACE_ENABLED) {
         System.err.println(System.currentTimeMillis() + " malformed input: " + reason);
       }
       isInputRejected = true;
@@ -141,7 +141,7 @@
   /** Encodes one line; fields are pairs of name and value, those with a null value are left out. */
   static ByteBuf encode(
       Channel channel, String type, String id, int code, String description, String... fields) {
-    ByteBuf line = channel.alloc().buffer(USUAL_LINE_BYTES);
+    ByteBuf line = channel.alloc().buffer(INITIAL_LINE_BYTES);
     try (JsonGenerator json =
         FACTORY.createGenerator((OutputStream) new ByteBufOutputStream(line))) {
       json.writeStartObject();
@@ -166,7 +166,7 @@
       throw new UncheckedIOException(e);
     }
     line.writeByte('\n');
-    if (IS_TRACING) {
+    if (TRACE_ENABLED) {
       trace(channel, "> " + line.toString(StandardCharsets.UTF_8).trim());
     }
     return line;
@@ -174,7 +174,7 @@
 
   /** Writes an event of the connection to standard error if lines are traced. */
   static void trace(Channel channel, String event) {
-    if (IS_TRACING) {
+    if (TRACE_ENABLED) {
       System.err.println(
           System.currentTimeMillis()
               + " "
--- a/src/main/java/fordridge/json/MachineConnectionHandler.java
+++ b/src/main/java/fordridge/json/MachineConnectionHandler.java
@@ -125,7 +125,7 @@
   public void channelInactive(ChannelHandlerContext ctx) {
     trace(ctx.channel(), "inactive, state " + state);
     if (state == State.ESTABLISHED) {
-      lost("closed by the machine");
+      connectionLost("closed by the machine");
     }
   }
 
@@ -139,10 +139,10 @@
 
   @Override
   void malformedInput(String reason) {
-    lost(reason);
+    connectionLost(reason);
   }
 
-  private void lost(String reason) {
+  private void connectionLost(String reason) {
     if (state == State.CONNECTING || state == State.ESTABLISHED) {
       state = State.CLOSED;
       closeChannel();
@@ -214,11 +214,11 @@
     boolean answersProbe = type.equals("hb_ok");
     boolean withLoadReport = fields.get("load") instanceof String;
     if (fields.get("load") instanceof String load) {
-      listener.loadReported(loadReport(load), answersProbe);
+      listener.loadReported(parseLoadReport(load), answersProbe);
     }
     switch (type) {
-      case "up" -> accepted(id, description);
-      case "down" -> terminated(id, code, String.valueOf(fields.get("note")));
+      case "up" -> vmAccepted(id, description);
+      case "down" -> vmTerminated(id, code, String.valueOf(fields.get("note")));
       case "tell" -> vmReported(id, fields);
       case "hb_ok" -> listener.probeAnswered(connection, code == HEALTHY, withLoadReport);
       case "hb" -> write("hb_ok", id, HEALTHY, null);
@@ -228,7 +228,7 @@
     }
   }
 
-  private void accepted(String vmId, String description) {
+  private void vmAccepted(String vmId, String description) {
     if (description == null) {
       rejectInput("line: an answer without field 'd'");
     } else {
@@ -236,7 +236,7 @@
     }
   }
 
-  private void terminated(String vmId, int code, String note) {
+  private void vmTerminated(String vmId, int code, String note) {
     TerminationCause cause = TerminationCause.fromCode(code);
     OutcomeReason reason = OUTCOME_REASONS.getOrDefault(note, OutcomeReason.UNSPECIFIED);
     listener.vmTerminated(
@@ -247,16 +247,16 @@
   private void vmReported(String vmId, Map<String, Object> fields) {
     String note = String.valueOf(fields.get("note"));
     VmReportKind kind = VM_REPORT_KINDS.getOrDefault(note, VmReportKind.UNKNOWN);
-    listener.vmReported(connection, vmId, kind, number(fields.get("value")));
+    listener.vmReported(connection, vmId, kind, parseNumber(fields.get("value")));
   }
 
   /** Reads pairs of name and value, as in {@code x0:12.5;x1:64;utilization:0.3}. */
-  private static LoadReport loadReport(String load) {
+  private static LoadReport parseLoadReport(String load) {
     Map<String, Double> values = new HashMap<>();
     for (String pair : load.split(";", -1)) {
       int colon = pair.indexOf(':');
       if (colon > 0) {
-        values.put(pair.substring(0, colon), number(pair.substring(colon + 1)));
+        values.put(pair.substring(0, colon), parseNumber(pair.substring(colon + 1)));
       }
     }
     return new LoadReport(
@@ -266,7 +266,7 @@
   }
 
   /** The value as a number, NaN where it is none. */
-  private static double number(Object value) {
+  private static double parseNumber(Object value) {
     if (value instanceof Number number) {
       return number.doubleValue();
     }
--- a/src/main/java/fordridge/json/ReadProgress.java
+++ b/src/main/java/fordridge/json/ReadProgress.java
@@ -19,7 +19,7 @@
   private static final int MAX_READS_PER_CYCLE = 4;
 
   private final Consumer<Boolean> onCycleCompleted;
-  private int reads;
+  private int readsInCycle;
 
   /** The consumer gets, after each cycle, whether the socket was read to its end. */
   ReadProgress(Consumer<Boolean> onCycleCompleted) {
@@ -37,15 +37,15 @@
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     if (message instanceof ByteBuf) {
-      reads++;
+      readsInCycle++;
     }
     ctx.fireChannelRead(message);
   }
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    boolean isReadToEnd = reads < MAX_READS_PER_CYCLE;
-    reads = 0;
+    boolean isReadToEnd = readsInCycle < MAX_READS_PER_CYCLE;
+    readsInCycle = 0;
     onCycleCompleted.accept(isReadToEnd);
     ctx.fireChannelReadComplete();
   }
--- a/src/main/java/fordridge/runtime/EventLoopLag.java
+++ b/src/main/java/fordridge/runtime/EventLoopLag.java
@@ -13,8 +13,8 @@
 public final class EventLoopLag {
   private final Duration window;
   private Duration windowStart = Duration.ZERO;
-  private Duration longest = Duration.ZERO;
-  private Duration longestBefore = Duration.ZERO;
+  private Duration longestInWindow = Duration.ZERO;
+  private Duration longestInPreviousWindow = Duration.ZERO;
 
   /** Remembers lags for at least that window. */
   public EventLoopLag(Duration window) {
@@ -24,22 +24,22 @@
   /** The loop lagged by so much at that time. */
   public void seen(Duration lag, Duration at) {
     rotate(at);
-    if (lag.compareTo(longest) > 0) {
-      longest = lag;
+    if (lag.compareTo(longestInWindow) > 0) {
+      longestInWindow = lag;
     }
   }
 
   /** What to take off a client's time. */
   public Duration allowance(Duration at) {
     rotate(at);
-    return longest.compareTo(longestBefore) > 0 ? longest : longestBefore;
+    return longestInWindow.compareTo(longestInPreviousWindow) > 0 ? longestInWindow : longestInPreviousWindow;
   }
 
   private void rotate(Duration at) {
     Duration age = at.minus(windowStart);
     if (age.compareTo(window) >= 0) {
-      longestBefore = age.compareTo(window.multipliedBy(2)) >= 0 ? Duration.ZERO : longest;
-      longest = Duration.ZERO;
+      longestInPreviousWindow = age.compareTo(window.multipliedBy(2)) >= 0 ? Duration.ZERO : longestInWindow;
+      longestInWindow = Duration.ZERO;
       windowStart = at;
     }
   }
--- a/src/main/java/fordridge/runtime/InputStatistics.java
+++ b/src/main/java/fordridge/runtime/InputStatistics.java
@@ -16,7 +16,7 @@
   }
 
   private final Map<InputKind, KindStatistics> byKind = new EnumMap<>(InputKind.class);
-  private final Map<InputKind, Long> countsOfPeriod = new EnumMap<>(InputKind.class);
+  private final Map<InputKind, Long> periodCounts = new EnumMap<>(InputKind.class);
 
   /** A new turn begins: what was counted is forgotten. */
   public void startTurn() {
@@ -25,7 +25,7 @@
 
   /** An input of this kind took so long. */
   public void record(InputKind kind, long nanos) {
-    countsOfPeriod.merge(kind, 1L, Long::sum);
+    periodCounts.merge(kind, 1L, Long::sum);
     KindStatistics statistics = byKind.computeIfAbsent(kind, k -> new KindStatistics());
     statistics.count++;
     statistics.nanos += nanos;
@@ -39,8 +39,8 @@
 
   /** The number of inputs by kind since the last call. */
   public String takePeriodCounts() {
-    String counts = countsOfPeriod.toString();
-    countsOfPeriod.clear();
+    String counts = periodCounts.toString();
+    periodCounts.clear();
     return counts;
   }
 
--- a/src/main/java/fordridge/runtime/MachineStartTimes.java
+++ b/src/main/java/fordridge/runtime/MachineStartTimes.java
@@ -15,9 +15,9 @@
  */
 public final class MachineStartTimes {
   /** Longer than a list is late, and than its server is away. */
-  static final Duration MAX_AGE_OF_NEWS = Duration.ofSeconds(30);
+  static final Duration MAX_WATCH_DELAY = Duration.ofSeconds(30);
 
-  private record Start(long epochMillis, Duration at) {}
+  private record Start(long epochMillis, Duration startedAt) {}
 
   /** Of the listed machines, so that the same start is the same time whatever is learned later. */
   private final Map<String, Start> startsByMachine = new HashMap<>();
@@ -32,24 +32,24 @@
   /**
    * When the machine started, by the scheduler's clock; negative before its zero.
    *
-   * @param isNews whether it was told by the watch just now, not by the list of the configuration
+   * @param isFromWatch whether it was told by the watch just now, not by the list of the configuration
    */
   public Duration startedAt(
-      String machineId, long startedAtEpochMillis, boolean isNews, Duration now) {
+      String machineId, long startedAtEpochMillis, boolean isFromWatch, Duration now) {
     Start known = startsByMachine.get(machineId);
     if (known != null && known.epochMillis == startedAtEpochMillis) {
-      return known.at;
+      return known.startedAt;
     }
-    Duration at = convert(startedAtEpochMillis, isNews && known == null, now);
-    startsByMachine.put(machineId, new Start(startedAtEpochMillis, at));
-    return at;
+    Duration startTime = convert(startedAtEpochMillis, isFromWatch && known == null, now);
+    startsByMachine.put(machineId, new Start(startedAtEpochMillis, startTime));
+    return startTime;
   }
 
-  private Duration convert(long startedAtEpochMillis, boolean isNewMachine, Duration now) {
+  private Duration convert(long startedAtEpochMillis, boolean isNewFromWatch, Duration now) {
     Duration startedAt = Duration.ofMillis(startedAtEpochMillis - epochMillisAtZero);
     boolean isInFuture = startedAt.compareTo(now) > 0;
-    boolean isOldNews = isNewMachine && now.minus(startedAt).compareTo(MAX_AGE_OF_NEWS) > 0;
-    if (!isInFuture && !isOldNews) {
+    boolean isTooOldForWatch = isNewFromWatch && now.minus(startedAt).compareTo(MAX_WATCH_DELAY) > 0;
+    if (!isInFuture && !isTooOldForWatch) {
       return startedAt;
     }
     epochMillisAtZero = startedAtEpochMillis - now.toMillis();
--- a/src/main/java/fordridge/runtime/SchedulerInputs.java
+++ b/src/main/java/fordridge/runtime/SchedulerInputs.java
@@ -96,14 +96,14 @@
   /** A machine list came: complete or changes, perhaps out of date. */
   public void list(boolean isComplete, boolean mayBeStale, List<ListedMachine<K>> listed) {
     scheduler.machineListStarted(isComplete, mayBeStale);
-    for (ListedMachine<K> each : listed) {
-      Machine machine = machine(each.key);
-      machine.zone = each.zone;
-      machine.kind = each.kind;
-      machine.cell = each.cell;
-      machine.freeCores = each.freeCores;
-      machine.freeMemory = each.freeMemory;
-      scheduler.machineListed(machine, each.lifecycle, each.startedAt);
+    for (ListedMachine<K> entry : listed) {
+      Machine machine = machine(entry.key);
+      machine.zone = entry.zone;
+      machine.kind = entry.kind;
+      machine.cell = entry.cell;
+      machine.freeCores = entry.freeCores;
+      machine.freeMemory = entry.freeMemory;
+      scheduler.machineListed(machine, entry.lifecycle, entry.startedAt);
     }
     scheduler.machineListCompleted();
   }
--- a/src/main/java/fordridge/session/ClientResponse.java
+++ b/src/main/java/fordridge/session/ClientResponse.java
@@ -19,20 +19,22 @@
   /** The VM's name as its client knows it. */
   String vm();
 
-  /** Which of the records it is. */
+  /** The kind of this response. */
   Kind kind();
 
-  /** Whether this is the one response that settles the placement request. */
+  /** Whether this is the final response to the placement request. */
   default boolean isFinal() {
     return kind() != Kind.TERMINATED;
   }
 
-  /** Whether nothing more is sent about the VM after this. */
+  /** Whether this is the last response about the VM. */
   default boolean isLast() {
     return kind() != Kind.ACCEPTED;
   }
 
-  /** The VM runs, or is accepted by a machine, by the placement attempt of the given number. */
+  /**
+   * A machine accepted the VM, or already runs it, through the placement attempt with this number.
+   */
   record Accepted(String vm, String machine, int attemptNumber, Duration startLatency)
       implements ClientResponse {
     @Override
@@ -41,7 +43,10 @@
     }
   }
 
-  /** The VM does not run, and a retry does no harm; a zero {@code retryAfter} gives no advice. */
+  /**
+   * The VM is not running and may be requested again; a zero {@code retryAfter} gives no advice on
+   * when.
+   */
   record Rejected(String vm, Duration retryAfter, String reason) implements ClientResponse {
     @Override
     public Kind kind() {
@@ -57,7 +62,7 @@
     }
   }
 
-  /** A VM that was accepted runs no longer. */
+  /** An accepted VM is no longer running. */
   record Terminated(String vm, TerminationCause cause) implements ClientResponse {
     @Override
     public Kind kind() {
@@ -65,21 +70,21 @@
     }
   }
 
-  /** Why a VM that was accepted runs no longer. */
+  /** Why an accepted VM is no longer running. */
   enum TerminationCause {
-    /** It ran to its end, or its client stopped it. */
+    /** It finished, or its client stopped it. */
     COMPLETED,
-    /** Its machine gave it up for lack of capacity. */
+    /** Its machine evicted it for lack of capacity. */
     EVICTED,
-    /** Its machine gave its place to a VM of a higher priority. */
+    /** Its machine preempted it for a VM of a higher priority. */
     PREEMPTED,
-    /** Its machine drained. */
+    /** Its machine was drained. */
     DRAINED,
-    /** Its machine restarted, left the cluster, or no longer knows it. */
+    /** Its machine restarted, left the cluster, or no longer knows the VM. */
     LOST,
-    /** It ended with an error of its own. */
+    /** It exited with an error of its own. */
     EXITED_WITH_ERROR,
-    /** The scheduler stopped it so that its client requests it again elsewhere. */
+    /** The scheduler stopped it so that its client requests it again, for another machine. */
     MIGRATED
   }
 }
--- a/src/main/java/fordridge/session/ClientSession.java
+++ b/src/main/java/fordridge/session/ClientSession.java
@@ -7,25 +7,26 @@
 import java.util.Optional;
 
 /**
- * The ordered responses to one client, over any number of its streams: each has a sequence number,
- * is retained until the client acknowledges it, and is written again when the client resumes from
- * an earlier number. Not thread-safe; belongs to the event loop of its {@link ClientSessions}.
+ * One client's session: the ordered responses to the client, over any number of its streams. Each
+ * response has a sequence number, is retained until the client acknowledges it, and is written
+ * again when the client resumes from an earlier number. Not thread-safe; confined to the event loop
+ * of its {@link ClientSessions}.
  */
 public final class ClientSession {
-  /** A response under the sequence number that the client acknowledges. */
+  /** A response with the sequence number by which the client acknowledges it. */
   public record NumberedResponse(long sequence, ClientResponse response) {}
 
   private final String client;
   private final String resumeToken;
   private final boolean fromEarlierIncarnation;
 
-  /** Responses not yet acknowledged, in the order of their sequence numbers. */
+  /** Unacknowledged responses in the order of their sequence numbers. */
   private final Deque<NumberedResponse> unacknowledged = new ArrayDeque<>();
 
   private long lastSequence;
   private long lastWritten;
 
-  /** Responses up to this number were acknowledged or discarded, and can't be written again. */
+  /** Responses up to this number were acknowledged or discarded and can't be written again. */
   private long discardedUpTo;
 
   private int pendingRequests;
@@ -43,37 +44,37 @@
     return client;
   }
 
-  /** The token by which the client resumes this session on another stream. */
+  /** The token with which the client resumes this session on another stream. */
   public String resumeToken() {
     return resumeToken;
   }
 
   /**
-   * Whether the client came with a token that this scheduler does not know: it had a session with
-   * an earlier incarnation of the scheduler, whose VMs may still run.
+   * Whether the client presented a token that this scheduler does not know: it had a session with
+   * an earlier incarnation of the scheduler, whose VMs may still be running.
    */
   public boolean isFromEarlierIncarnation() {
     return fromEarlierIncarnation;
   }
 
-  /** Whether a stream carries this session now. */
+  /** Whether the session has an open stream. */
   public boolean isConnected() {
     return connected;
   }
 
-  /** Placement requests of this session without a final response. */
+  /** The number of placement requests of this session without a final response. */
   public int pendingRequests() {
     return pendingRequests;
   }
 
-  /** Responses that no stream has taken yet. */
+  /** The number of responses that are not yet written to the current stream. */
   public long unwrittenResponses() {
     return lastSequence - lastWritten;
   }
 
   /**
-   * The next response that the current stream has not carried, which counts as written from here
-   * on; empty if there is none.
+   * Returns the next response to write to the current stream and counts it as written; empty if
+   * there is none.
    */
   public Optional<NumberedResponse> nextToWrite() {
     if (lastWritten >= lastSequence) {
@@ -90,8 +91,9 @@
   }
 
   /**
-   * Appends a response. Beyond {@code maxUnacknowledged} the oldest are discarded: a client that
-   * never acknowledged them has to request those VMs again by name.
+   * Appends a response. If more than {@code maxUnacknowledged} are retained, the oldest are
+   * discarded: a client that did not acknowledge them can get them again only by repeating its
+   * requests for those VMs.
    */
   void append(ClientResponse response, int maxUnacknowledged) {
     unacknowledged.addLast(new NumberedResponse(++lastSequence, response));
@@ -100,7 +102,10 @@
     }
   }
 
-  /** False for a number that was never sent: the client speaks of another session. */
+  /**
+   * Discards the responses up to {@code sequence}. Returns false if that number was never sent: the
+   * client refers to another session.
+   */
   boolean acknowledge(long sequence) {
     if (sequence > lastSequence) {
       return false;
@@ -118,7 +123,7 @@
     return sequence >= discardedUpTo && sequence <= lastSequence;
   }
 
-  /** A new stream begins: responses after {@code sequence} are written again. */
+  /** Starts a new stream: responses after {@code sequence} are written again. */
   void resumeAfter(long sequence) {
     acknowledge(sequence);
     lastWritten = sequence;
@@ -133,7 +138,7 @@
     disconnectedAt = now;
   }
 
-  /** Whether the session is over: no stream for {@code retention}, and no request pending. */
+  /** Whether the session has had no stream for {@code retention} and has no pending request. */
   boolean isExpired(Duration now, Duration retention) {
     return !connected && pendingRequests == 0 && disconnectedAt.plus(retention).compareTo(now) <= 0;
   }
--- a/src/main/java/fordridge/session/ClientSessions.java
+++ b/src/main/java/fordridge/session/ClientSessions.java
@@ -10,22 +10,22 @@
 import java.util.Map;
 
 /**
- * Sessions of clients, their placement requests, and the responses retained for clients that
- * reconnect or request a VM again. It enforces that each request gets exactly one final response.
- * Free of I/O, threads and clocks: the time comes in with each event. Not thread-safe; belongs to
- * one event loop.
+ * The sessions of clients, their placement requests, and the responses retained for clients that
+ * reconnect or request a VM again. Ensures that each request gets exactly one final response. Does
+ * no I/O, starts no threads and reads no clock: the time is passed with each event. Not
+ * thread-safe; confined to one event loop.
  *
- * <p>Everything that grows is bounded by {@link Limits}; what happens at each limit is said where
- * it is checked.
+ * <p>All state is bounded by {@link Limits}; the effect of each limit is documented where the limit
+ * is checked.
  */
 public final class ClientSessions {
   /**
-   * The limits, from the settings.
+   * The limits on retained state, from the settings.
    *
    * @param maxPendingRequests requests without a final response, over all clients
-   * @param maxPendingRequestsPerClient the same of one client
-   * @param maxUnwrittenResponses responses that one client does not read, before nothing more is
-   *     read from it
+   * @param maxPendingRequestsPerClient requests without a final response of one client
+   * @param maxUnwrittenResponses responses waiting to be written to one client; at this number no
+   * more is read from the client
    * @param maxClosedRequests closed requests whose responses are retained, over all clients
    * @param retention how long closed requests and the sessions of disconnected clients are retained
    */
@@ -35,28 +35,31 @@
       int maxUnwrittenResponses,
       int maxClosedRequests,
       Duration retention) {
-    /** Responses retained for one client until it acknowledges them. */
+    /** The number of responses retained for one client until it acknowledges them. */
     int maxUnacknowledgedResponses() {
       return maxUnwrittenResponses + 2 * maxPendingRequestsPerClient;
     }
   }
 
-  /** What becomes of a placement request when it is received. */
+  /** The result of receiving a placement request. */
   public enum Admission {
-    /** New: it goes to the scheduler. */
+    /** A new request, which goes to the scheduler. */
     ADMITTED,
-    /** Already known: what was sent for it is sent again, and what follows will be sent. */
+    /**
+     * A known request: responses that were sent in an earlier session are sent again, and later
+     * ones follow.
+     */
     DUPLICATE,
-    /** Too many requests are pending: not admitted, and to be rejected. */
+    /** Too many requests are pending: the request is not admitted and has to be rejected. */
     LIMIT_EXCEEDED
   }
 
   private enum RequestState {
-    /** No final response yet. */
+    /** It has no final response yet. */
     PENDING,
-    /** Its VM was accepted, and has not terminated. */
+    /** Its VM was accepted and has not terminated. */
     ACCEPTED,
-    /** Nothing more is sent for it. */
+    /** No further response is sent. */
     CLOSED
   }
 
@@ -64,15 +67,18 @@
     final String client;
     final String vm;
 
-    /** Where its responses go; null while the client has not requested it in its latest session. */
+    /**
+     * The session that gets its responses; null while the client has not repeated the request in
+     * its latest session.
+     */
     ClientSession session;
 
     RequestState state = RequestState.PENDING;
 
-    /** What was sent for it, oldest first: a final response and perhaps a termination. */
+    /** The responses so far, oldest first: a final response and possibly a termination notice. */
     final List<ClientResponse> responses = new ArrayList<>(2);
 
-    /** Meaningful once it is closed. */
+    /** When it was closed; only valid in state {@link RequestState#CLOSED}. */
     Duration closedAt = Duration.ZERO;
 
     Request(String client, String vm, ClientSession session) {
@@ -95,21 +101,23 @@
   private final Map<String, ClientSession> sessions = new LinkedHashMap<>();
   private final Map<String, Map<String, Request>> requestsByClient = new HashMap<>();
 
-  /** Closed requests, the one closed first in front. */
-  private final Deque<Request> closed = new ArrayDeque<>();
+  /** Closed requests in the order in which they were closed. */
+  private final Deque<Request> closedRequests = new ArrayDeque<>();
 
   private int pendingRequests;
   private long tokensIssued;
 
-  /** Creates an empty registry; {@code seed} makes the tokens of this incarnation its own. */
+  /**
+   * Creates an empty registry; {@code seed} makes the resume tokens of this incarnation unique.
+   */
   public ClientSessions(Limits limits, long seed) {
     this.limits = limits;
     this.seed = seed;
   }
 
   /**
-   * A client opened a stream. Its session is resumed if the token is the session's and every
-   * response after {@code lastSeen} is still retained; otherwise it gets a new session.
+   * A client opened a stream. Its session is resumed if the token matches and every response after
+   * {@code lastSeen} is still retained; otherwise the client gets a new session.
    */
   public ClientSession clientConnected(String client, String resumeToken, long lastSeen) {
     ClientSession known = sessions.get(client);
@@ -118,8 +126,8 @@
       known.resumeAfter(lastSeen);
     } else {
       if (known != null) {
-        // A new process under the same name: its earlier requests stay pending, and their responses
-        // are sent only if it requests them again.
+        // The client starts over under a known name, for instance after a restart of its process:
+        // its earlier requests stay pending, and their responses are sent only if it repeats them.
         detachRequests(client);
       }
       session = newSession(client, known == null && !resumeToken.isEmpty());
@@ -135,17 +143,19 @@
     return session;
   }
 
-  /** Whether a client that showed this token continues this session. */
+  /** Whether a client that presents this token resumes this session. */
   public boolean isResumed(ClientSession session, String resumeToken) {
     return session.resumeToken().equals(resumeToken);
   }
 
-  /** The stream that carried the session ended; the session stays for a while. */
+  /** The session's stream closed; the session is retained for {@link Limits#retention}. */
   public void clientDisconnected(ClientSession session, Duration now) {
     session.streamClosed(now);
   }
 
-  /** Discards the responses up to {@code sequence}; false for a number that was never sent. */
+  /**
+   * Discards the responses up to {@code sequence}; returns false if that number was never sent.
+   */
   public boolean acknowledge(ClientSession session, long sequence) {
     return session.acknowledge(sequence);
   }
@@ -169,7 +179,7 @@
     return Admission.ADMITTED;
   }
 
-  /** A request made in an earlier session: its responses are sent again under new numbers. */
+  /** Sends the responses to a request of an earlier session again, under new sequence numbers. */
   private void repeatResponses(Request request, ClientSession session) {
     if (request.session == session) {
       return;
@@ -181,7 +191,7 @@
     request.responses.forEach(response -> append(session, response));
   }
 
-  /** Rejects a request that does not go to the scheduler, also one that was not admitted. */
+  /** Rejects a request that does not go to the scheduler, including one that was not admitted. */
   public void reject(ClientSession session, ClientResponse.Rejected rejection, Duration now) {
     if (!respond(session.client(), rejection, now)) {
       append(session, rejection);
@@ -194,7 +204,9 @@
     return request != null && request.state == RequestState.PENDING;
   }
 
-  /** The client no longer wants the VM: a pending request is closed without a response. */
+  /**
+   * The client withdrew its request for the VM: a pending request is closed without a response.
+   */
   public void requestWithdrawn(ClientSession session, String vm, Duration now) {
     Request request = find(session.client(), vm);
     if (request != null && request.state == RequestState.PENDING) {
@@ -204,8 +216,8 @@
   }
 
   /**
-   * A VM runs that an earlier incarnation of this scheduler placed; its client is notified when it
-   * requests the VM again, or at once if it already has.
+   * A VM that was placed by an earlier incarnation of this scheduler is running. Its client is
+   * notified when it requests the VM again, or at once if it already has.
    */
   public void vmAdopted(String client, ClientResponse.Accepted accepted, Duration now) {
     if (isPending(client, accepted.vm())) {
@@ -221,8 +233,9 @@
   }
 
   /**
-   * Sends a response to the request's client. False, and nothing is sent, if the request may not
-   * receive it: a second final response, or anything after the last one, whatever the cause.
+   * Sends a response to the request's client. Returns false and sends nothing if the request may
+   * not receive it: a second final response, or any response after the last one, whatever caused
+   * it.
    */
   public boolean respond(String client, ClientResponse response, Duration now) {
     Request request = find(client, response.vm());
@@ -245,15 +258,15 @@
   }
 
   /**
-   * Removes the sessions of clients that have been disconnected for too long with nothing pending;
-   * returns the clients' names.
+   * Removes the sessions of clients that have been disconnected for the retention time and have no
+   * pending request; returns the names of those clients.
    */
   public List<String> expireSessions(Duration now) {
     List<String> expired = new ArrayList<>();
     for (ClientSession session : List.copyOf(sessions.values())) {
       if (session.isExpired(now, limits.retention)) {
         sessions.remove(session.client());
-        requests(session.client()).values().removeIf(r -> r.state == RequestState.CLOSED);
+        requests(session.client()).values().removeIf(request -> request.state == RequestState.CLOSED);
         detachRequests(session.client());
         expired.add(session.client());
       }
@@ -264,26 +277,29 @@
   }
 
   /**
-   * Whether more may be read from the client. At the limit it is left waiting, and the transport's
-   * flow control with it: nothing that it sends is lost, and nothing grows here. What counts is
-   * what it does not read, not what it has not acknowledged: an acknowledgement may be queued
-   * behind the very messages that are not read.
+   * Whether more may be read from the client. At the limit nothing is read, so that the transport's
+   * flow control makes the client wait: nothing that it sends is lost, and no queue grows here. The
+   * limit counts unwritten responses, not unacknowledged ones: an acknowledgement may be queued
+   * behind the very messages that are not being read.
    */
   public boolean mayReadMore(ClientSession session) {
     return session.unwrittenResponses() < limits.maxUnwrittenResponses;
   }
 
-  /** Requests without a final response, over all clients. */
+  /** The number of requests without a final response, over all clients. */
   public int pendingRequests() {
     return pendingRequests;
   }
 
-  /** Closed requests whose responses are still retained. */
+  /** The number of closed requests whose responses are still retained. */
   public int closedRequests() {
-    return closed.size();
+    return closedRequests.size();
   }
 
-  /** Sessions of connected clients and of those disconnected a while ago. */
+  /**
+   * The number of sessions, of connected clients and of disconnected clients that are still
+   * retained.
+   */
   public int sessionCount() {
     return sessions.size();
   }
@@ -314,19 +330,19 @@
   private void close(Request request, Duration now) {
     request.state = RequestState.CLOSED;
     request.closedAt = now;
-    closed.addLast(request);
+    closedRequests.addLast(request);
   }
 
-  /** Discards the requests closed first, beyond the limits of their number and of their age. */
+  /** Discards the requests that were closed first, beyond the limits on their number and age. */
   private void discardOldRequests(Duration now) {
-    while (!closed.isEmpty() && isBeyondLimits(closed.peekFirst(), now)) {
-      Request oldest = closed.removeFirst();
+    while (!closedRequests.isEmpty() && isBeyondLimits(closedRequests.peekFirst(), now)) {
+      Request oldest = closedRequests.removeFirst();
       requests(oldest.client).remove(oldest.vm, oldest);
     }
   }
 
   private boolean isBeyondLimits(Request oldest, Duration now) {
-    return closed.size() > limits.maxClosedRequests
+    return closedRequests.size() > limits.maxClosedRequests
         || oldest.closedAt.plus(limits.retention).compareTo(now) <= 0;
   }
 }
--- a/src/main/java/fordridge/session/NoticeDeliveries.java
+++ b/src/main/java/fordridge/session/NoticeDeliveries.java
@@ -14,28 +14,32 @@
 import java.util.function.Consumer;
 
 /**
- * Delivers termination notices at least once: each is kept from its VM's end until the client
- * acknowledges it on a connection that it was sent on, or it expires. It waits while no connection
- * is open; while one is and does not acknowledge it, it is sent on others in turn, on each once.
+ * Delivers termination notices at least once. A notice is kept from the termination of its VM until
+ * the client acknowledges it on a connection that it was sent on, or until it expires. It is
+ * deferred while no connection is open. A notice that is not acknowledged in time is sent on other
+ * open connections in turn, once on each.
  *
- * <p>Free of I/O, threads and clocks; to be used by one thread only.
+ * <p>Does no I/O, starts no threads and reads no clock. Not thread-safe.
  *
  * @param <C> a client's connection
  */
 final class NoticeDeliveries<C> {
-  /** A notice has to arrive within a second: on the third connection at the latest. */
+  /**
+   * Time to wait for an acknowledgement before a notice is sent on another connection. A notice has
+   * to arrive within a second, so at the latest on the third connection.
+   */
   private static final Duration ACKNOWLEDGEMENT_TIMEOUT = Duration.ofMillis(350);
 
-  /** One notice, the connections it was sent on and the one on which that was done last. */
+  /** A notice, the connections that it was sent on, and the one that it was sent on last. */
   private static final class Delivery<C> {
     final TerminationNotice notice;
 
-    /** Whether its client is known to be on the connection that it was sent on first. */
+    /** Whether the client's own connection is known; the notice is then sent on that one first. */
     final boolean hasOwnConnection;
 
     final Set<C> triedConnections = new LinkedHashSet<>();
 
-    /** Where the client was before it came on its own connection, to be tried first. */
+    /** Connections of the client before its own one; they are tried before any other. */
     final List<C> formerConnections;
 
     C connection;
@@ -59,16 +63,17 @@
   private final int maxDeliveries;
   private final Consumer<TerminationNotice> displacedNotices;
 
-  /** Open connections that have carried a request, the most recent last. */
+  /** Open connections that have carried a request, the most recently used last. */
   private final LinkedHashSet<C> openConnections = new LinkedHashSet<>();
 
   /**
-   * Of these, the ones that have acknowledged notices, and how many. One that has acknowledged many
-   * is a client's for certain; one that came and acknowledged a single one may be anybody's.
+   * The number of notices acknowledged on each open connection that has acknowledged any. A
+   * connection with many acknowledgements certainly belongs to a client that handles notices; a
+   * single one may come from any peer.
    */
   private final Map<C, Integer> acknowledgements = new HashMap<>();
 
-  /** By VM, the oldest first. */
+  /** The deliveries by VM id, oldest first. */
   private final Map<String, Delivery<C>> deliveries = new LinkedHashMap<>();
 
   private int deferred;
@@ -77,10 +82,10 @@
   private long resent;
 
   /**
-   * None is to be delivered yet.
+   * Creates a registry without deliveries.
    *
    * @param maxDeliveries the maximum number of notices that are kept; beyond it the oldest is
-   *     displaced, and counted
+   * displaced and counted
    * @param displacedNotices receives each notice that is displaced
    */
   NoticeDeliveries(int maxDeliveries, Consumer<TerminationNotice> displacedNotices) {
@@ -88,13 +93,16 @@
     this.displacedNotices = displacedNotices;
   }
 
-  /** The connection is open and has carried a request. */
+  /** Records that a request came on this open connection. */
   void connectionUsed(C connection) {
     openConnections.remove(connection);
     openConnections.add(connection);
   }
 
-  /** What was sent on the connection and not acknowledged may be lost: it is sent on another. */
+  /**
+   * Defers the unacknowledged notices that were last sent on this connection: they may be lost and
+   * are sent again on another one.
+   */
   void connectionClosed(C connection) {
     openConnections.remove(connection);
     acknowledgements.remove(connection);
@@ -106,10 +114,10 @@
   }
 
   /**
-   * A VM is over. The result is the connection to send the notice on now; empty if none is open.
+   * A VM terminated. Returns the connection to send the notice on now; empty if none is open.
    *
-   * @param own the connection on which its client is known to be, empty if that has closed
-   * @param former connections on which its client has been, the most recent first
+   * @param own the connection on which the client is known to be, empty if that one has closed
+   * @param former earlier connections of the client, the most recent first
    */
   Optional<C> add(TerminationNotice notice, Optional<C> own, List<C> former, Duration now) {
     if (deliveries.size() >= maxDeliveries) {
@@ -127,9 +135,9 @@
   }
 
   /**
-   * A client acknowledges the notice of a VM. Without effect on a connection that the notice was
-   * not sent on: it may be another client's, and says nothing of who listens there. False if it was
-   * without effect.
+   * A client acknowledges the notice of a VM. Returns false, without effect, if the notice was not
+   * sent on this connection: the connection may be another client's, and an acknowledgement of a
+   * notice that it did not get does not show which client reads from it.
    */
   boolean acknowledged(String vmId, C connection) {
     Delivery<C> delivery = deliveries.get(vmId);
@@ -143,7 +151,7 @@
     return true;
   }
 
-  /** The notices that have waited for a connection and are to be sent now. */
+  /** Takes the deferred notices that are to be sent now, each with its connection. */
   List<AddressedNotice<C>> takeDeferred(Duration now) {
     List<AddressedNotice<C>> due = new ArrayList<>();
     if (deferred == 0 || openConnections.isEmpty()) {
@@ -161,7 +169,10 @@
     return due;
   }
 
-  /** The notices that were not acknowledged in time and are to be sent on a further connection. */
+  /**
+   * Takes the notices that were not acknowledged in time and are to be sent on a further
+   * connection.
+   */
   List<AddressedNotice<C>> takeOverdue(Duration now) {
     List<AddressedNotice<C>> due = new ArrayList<>();
     for (Delivery<C> delivery : deliveries.values()) {
@@ -178,7 +189,7 @@
     return due;
   }
 
-  /** Drops the notices that are no longer worth sending, and returns them. */
+  /** Drops the expired notices and returns them. */
   List<TerminationNotice> expire(Duration now) {
     List<TerminationNotice> dropped = new ArrayList<>();
     for (Delivery<C> delivery : deliveries.values()) {
@@ -191,7 +202,7 @@
     return dropped;
   }
 
-  /** Whether the notice of the VM's end is kept, as no client has acknowledged it yet. */
+  /** Whether the VM's termination notice is kept because no client has acknowledged it yet. */
   boolean isUndelivered(String vmId) {
     return deliveries.containsKey(vmId);
   }
@@ -200,7 +211,7 @@
     return deliveries.size();
   }
 
-  /** Counts for the log. */
+  /** The counts of notices, for the log. */
   String describe() {
     return "notices without a connection "
         + deferred
@@ -215,9 +226,10 @@
   }
 
   /**
-   * A connection that the notice was not sent on yet: one of its client's former ones, else the one
-   * that has acknowledged most. Others only if its client's own is not known: a client that never
-   * acknowledges would get everything twice.
+   * Returns an open connection that the notice was not sent on yet: one of the client's former
+   * connections, otherwise the one with the most acknowledgements. If the client's own connection
+   * is known, connections without any acknowledgement are left out: a client that never
+   * acknowledges would get every notice twice.
    */
   private Optional<C> alternativeTo(Delivery<C> delivery) {
     for (C former : delivery.formerConnections) {
@@ -231,10 +243,12 @@
         .reduce(this::preferred);
   }
 
-  /** The one that has acknowledged more, the later one if both have as much. */
+  /**
+   * Returns the connection with more acknowledgements, or the later one if both have equally many.
+   */
   private C preferred(C earlier, C later) {
-    int ofEarlier = acknowledgements.getOrDefault(earlier, 0);
-    return ofEarlier > acknowledgements.getOrDefault(later, 0) ? earlier : later;
+    int earlierCount = acknowledgements.getOrDefault(earlier, 0);
+    return earlierCount > acknowledgements.getOrDefault(later, 0) ? earlier : later;
   }
 
   private void sendOn(C connection, Delivery<C> delivery, Duration now) {
--- a/src/main/java/fordridge/session/PendingResponses.java
+++ b/src/main/java/fordridge/session/PendingResponses.java
@@ -12,35 +12,38 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps which client connection gets which response: one final response for each placement request,
- * and one termination notice for each VM that was accepted.
+ * Tracks which client connection gets which response: one final response for each placement
+ * request, and one termination notice for each accepted VM.
  *
- * <p>A request belongs to the connection that carried it. A running VM outlives its connection: its
- * termination notice then goes to another connection of a client. Notices are sent at least once:
- * they are kept until the client acknowledges them or they expire.
+ * <p>A request belongs to the connection that it came on. A running VM outlives its connection: its
+ * termination notice then goes to another client connection. Notices are sent at least once: they
+ * are kept until the client acknowledges them or they expire.
  *
- * <p>Free of I/O, threads and clocks: the caller writes what is returned, and brings the time. To
- * be used by one thread only.
+ * <p>Does no I/O, starts no threads and reads no clock: the caller writes what is returned and
+ * passes the time. Not thread-safe.
  *
  * @param <C> a client's connection
  */
 public final class PendingResponses<C> {
-  /** Whether a placement request was taken up. */
+  /** The result of receiving a placement request. */
   public enum Admission {
     ADMITTED,
-    /** A request with this id is pending already, or its VM runs. */
+    /** A request with this id is pending already, or its VM is running. */
     DUPLICATE,
-    /** The maximum number of requests is pending. */
+    /** The maximum number of requests is pending already. */
     OVER_CAPACITY
   }
 
-  /** That a VM which ran is over, and until when this is worth sending. */
+  /** The notice that a running VM has terminated; it is not sent after {@code expiresAt}. */
   public record TerminationNotice(String vmId, Outcome outcome, Duration expiresAt) {}
 
   /** A termination notice, and the connection to send it on. */
   public record AddressedNotice<C>(C connection, TerminationNotice notice) {}
 
-  /** A client that moves on more often has left the first ones. */
+  /**
+   * Former connections kept for a VM; a client that has reconnected more often no longer uses older
+   * ones.
+   */
   private static final int MAX_FORMER_CONNECTIONS = 3;
 
   private enum State {
@@ -49,12 +52,15 @@
   }
 
   private static final class Entry<C> {
-    /** Null once it has closed while the VM runs. */
+    /** The client's connection; null if it has closed while the VM is running. */
     C connection;
 
     State state;
 
-    /** Where its client was before it handed the VM over once more, the most recent first. */
+    /**
+     * The client's connections before it handed the VM over again on another one, most recent
+     * first.
+     */
     final List<C> formerConnections = new ArrayList<>();
 
     Entry(C connection, State state) {
@@ -75,8 +81,8 @@
    * Creates an empty registry.
    *
    * @param maxPending the maximum number of pending requests
-   * @param maxNotices the maximum number of notices that are not acknowledged; beyond it the oldest
-   *     is displaced, and counted
+   * @param maxNotices the maximum number of unacknowledged notices; beyond it the oldest is
+   * displaced and counted
    * @param noticeLifetime how long an undelivered termination notice is kept
    * @param displacedNotices receives each notice that is displaced
    */
@@ -90,7 +96,9 @@
     this.noticeLifetime = noticeLifetime;
   }
 
-  /** A client requests a placement; if admitted, it is pending until its response is taken. */
+  /**
+   * A client requests a placement; if admitted, the request is pending until its response is taken.
+   */
   public Admission requestReceived(String vmId, C connection) {
     if (entries.containsKey(vmId)) {
       return Admission.DUPLICATE;
@@ -103,21 +111,23 @@
     return Admission.ADMITTED;
   }
 
-  /** What is known of a VM that a client hands over. */
+  /** The result of a client's handover of a running VM. */
   public enum Adoption {
-    /** It was not known, and is now. */
+    /** The VM was not known and is now registered as running. */
     ADOPTED,
-    /** It runs; its termination notice goes to this connection from now on. */
+    /**
+     * The VM was registered already; its termination notice goes to this connection from now on.
+     */
     REBOUND,
-    /** It is pending on this connection: nothing is changed. */
+    /** A request for the VM is pending on this connection; nothing is changed. */
     PENDING_HERE,
-    /** It is pending on another connection: nothing is changed. */
+    /** A request for the VM is pending on another connection; nothing is changed. */
     PENDING_ELSEWHERE
   }
 
   /**
-   * A client reports a VM that runs already: it gets no response, only the termination notice.
-   * Where that is known, its client has come on another connection.
+   * A client hands over a VM that is already running: it gets no response, only the termination
+   * notice. If the VM is registered as running, its client has moved to this connection.
    */
   public Adoption adoptRunning(String vmId, C connection) {
     Entry<C> entry = entries.get(vmId);
@@ -160,7 +170,10 @@
     notices.connectionUsed(connection);
   }
 
-  /** The request is accepted and the VM runs: where to say so; empty if it is not pending. */
+  /**
+   * Marks a pending request as accepted and its VM as running. Returns the connection to send the
+   * acceptance on; empty if the request is not pending.
+   */
   public Optional<C> takeAccepted(String vmId) {
     Entry<C> entry = entries.get(vmId);
     if (entry == null || entry.state != State.AWAITING_RESPONSE) {
@@ -171,7 +184,10 @@
     return Optional.of(entry.connection);
   }
 
-  /** The request is rejected or failed: where to say so; empty if it is not pending. */
+  /**
+   * Removes a pending request that was rejected or has failed. Returns the connection to send that
+   * response on; empty if the request is not pending.
+   */
   public Optional<C> takeDeclined(String vmId) {
     Entry<C> entry = entries.get(vmId);
     if (entry == null || entry.state != State.AWAITING_RESPONSE) {
@@ -182,8 +198,9 @@
   }
 
   /**
-   * A running VM is over: where to send its termination notice now. Empty if the VM is not running,
-   * or if no connection is open and the notice was deferred, see {@link #takeDeferredNotices}.
+   * A running VM terminated. Returns the connection to send its termination notice on now. Empty if
+   * the VM is not running, or if no connection is open and the notice was deferred, see {@link
+   * #takeDeferredNotices}.
    */
   public Optional<C> vmTerminated(String vmId, Outcome outcome, Duration now) {
     Entry<C> entry = entries.get(vmId);
@@ -196,14 +213,17 @@
   }
 
   /**
-   * The client acknowledges, on this connection, the termination notice of a VM; without effect
-   * unless the notice was sent on it. False if it was without effect.
+   * A client acknowledges a VM's termination notice on this connection. Returns false, without
+   * effect, if the notice is unknown or was not sent on this connection.
    */
   public boolean noticeAcknowledged(String vmId, C connection) {
     return notices.acknowledged(vmId, connection);
   }
 
-  /** The client ends a VM or withdraws a request: it gets no response. False if it is unknown. */
+  /**
+   * A client terminates a VM or withdraws a request: it gets no response or notice for it. Returns
+   * false if the VM is unknown.
+   */
   public boolean endedByClient(String vmId) {
     Entry<C> entry = entries.get(vmId);
     if (entry == null) {
@@ -214,15 +234,16 @@
   }
 
   /**
-   * A connection has closed. This is the one place that decides what becomes of all that it
-   * carried:
+   * A connection closed. This method alone decides what becomes of everything that belongs to the
+   * connection:
    *
    * <ul>
-   *   <li>its pending requests are abandoned: they are returned, get no response, and their ids may
-   *       be used again;
-   *   <li>its running VMs go on, and their termination notices will go to another connection;
-   *   <li>its notices that were not acknowledged may have been lost on the way: they are deferred,
-   *       see {@link #takeDeferredNotices}.
+   * <li>its pending requests are abandoned: they are returned, get no response, and their ids may
+   * be used again;
+   * <li>its running VMs stay registered, and their termination notices will go to another
+   * connection;
+   * <li>its unacknowledged notices may have been lost in transit: they are deferred, see {@link
+   * #takeDeferredNotices}.
    * </ul>
    */
   public List<String> connectionClosed(C connection) {
@@ -244,42 +265,46 @@
     return abandonedRequests;
   }
 
-  /** The deferred notices to be sent now: all that have not expired, if a connection is open. */
+  /**
+   * Takes the deferred notices that are to be sent now: all that have not expired, if a connection
+   * is open.
+   */
   public List<AddressedNotice<C>> takeDeferredNotices(Duration now) {
     expireNotices(now);
     return notices.takeDeferred(now);
   }
 
   /**
-   * The notices to be sent on a further connection, on each once: those before have acknowledged
-   * nothing for a while, and their client may be gone without a word.
+   * Takes the notices that are to be sent on a further connection, once on each: they were not
+   * acknowledged in time on the connections before, whose client may be gone without having closed
+   * its connection.
    */
   public List<AddressedNotice<C>> takeOverdueNotices(Duration now) {
     return notices.takeOverdue(now);
   }
 
-  /** Drops the notices that are no longer worth sending, and returns them. */
+  /** Drops the expired notices and returns them. */
   public List<TerminationNotice> expireNotices(Duration now) {
     return notices.expire(now);
   }
 
-  /** Whether the notice of the VM's end is kept, as no client has acknowledged it yet. */
+  /** Whether the VM's termination notice is kept because no client has acknowledged it yet. */
   public boolean isNoticeUndelivered(String vmId) {
     return notices.isUndelivered(vmId);
   }
 
-  /** Whether the request is pending: its client has got no response yet. */
+  /** Whether the request is pending: no response has been sent to its client yet. */
   public boolean isAwaitingResponse(String vmId) {
     Entry<C> entry = entries.get(vmId);
     return entry != null && entry.state == State.AWAITING_RESPONSE;
   }
 
-  /** The number of notices that are deferred or not acknowledged. */
+  /** The number of notices that are deferred or not yet acknowledged. */
   public int undeliveredNotices() {
     return notices.size();
   }
 
-  /** What is owed to clients, for the log. */
+  /** The counts of pending requests, running VMs and undelivered notices, for the log. */
   public String describe() {
     return "pending requests "
         + pendingRequests
@@ -289,13 +314,13 @@
         + notices.describe();
   }
 
-  /** Whether the client of a running VM is on a connection that is known and open. */
+  /** Whether the connection of the VM's client is known and open. */
   public boolean hasOwnConnection(String vmId) {
     Entry<C> entry = entries.get(vmId);
     return entry != null && entry.connection != null;
   }
 
-  /** The number of VMs that run and whose client was last on this connection. */
+  /** The number of running VMs whose client was last on this connection. */
   public int runningVmsOf(C connection) {
     Set<String> vmIds = vmIdsByConnection.getOrDefault(connection, Set.of());
     return vmIds.size() - pendingRequestsOf(connection).size();
@@ -306,7 +331,7 @@
     return vmIdsByConnection.containsKey(connection);
   }
 
-  /** The ids of the pending requests of the connection, in the order in which they came. */
+  /** The ids of the connection's pending requests, in the order in which they came. */
   public List<String> pendingRequestsOf(C connection) {
     List<String> pending = new ArrayList<>();
     for (String vmId : vmIdsByConnection.getOrDefault(connection, Set.of())) {
@@ -334,7 +359,7 @@
     return pendingRequests;
   }
 
-  /** The number of VMs that run. */
+  /** The number of running VMs. */
   public int runningVms() {
     return entries.size() - pendingRequests;
   }
--- a/src/test/java/fordridge/eventloop/MonitoredIoHandlerTest.java
+++ b/src/test/java/fordridge/eventloop/MonitoredIoHandlerTest.java
@@ -34,7 +34,7 @@
   }
 
   @Example
-  void timerThatIsDueStaysDue() {
+  void delayThatIsNotPositiveIsUnchanged() {
     assertThat(MonitoredIoHandler.wholeMillis(0)).isZero();
     assertThat(MonitoredIoHandler.wholeMillis(-5)).isEqualTo(-5);
   }
--- a/src/test/java/fordridge/runtime/MachineStartTimesTest.java
+++ b/src/test/java/fordridge/runtime/MachineStartTimesTest.java
@@ -12,7 +12,7 @@
   private static final Duration NOW = Duration.ofSeconds(20);
 
   @Example
-  void startIsCountedFromTheWallClockThatTheProcessStartedBy() {
+  void startIsConvertedByTheWallClockReadAtTheProcessStart() {
     MachineStartTimes times = new MachineStartTimes(TRUE_EPOCH);
     assertThat(times.startedAt("a", TRUE_EPOCH + 15_000, true, NOW))
         .isEqualTo(Duration.ofSeconds(15));
@@ -22,7 +22,7 @@
   }
 
   @Example
-  void newMachineIsNotTakenForWarmWhereTheWallClockIsAhead() {
+  void newMachineIsNotTreatedAsWarmedUpWhenTheWallClockIsAhead() {
     MachineStartTimes times = new MachineStartTimes(TRUE_EPOCH + HOUR);
     assertThat(times.startedAt("a", TRUE_EPOCH + 20_000, true, NOW)).isEqualTo(NOW);
     assertThat(times.startedAt("b", TRUE_EPOCH + 15_000, true, NOW))
@@ -31,7 +31,7 @@
   }
 
   @Example
-  void newMachineDoesNotStartInTheFutureWhereTheWallClockIsBehind() {
+  void newMachineDoesNotStartInTheFutureWhenTheWallClockIsBehind() {
     MachineStartTimes times = new MachineStartTimes(TRUE_EPOCH - HOUR);
     assertThat(times.startedAt("a", TRUE_EPOCH + 20_000, true, NOW)).isEqualTo(NOW);
     assertThat(times.startedAt("b", TRUE_EPOCH + 18_000, false, NOW))
@@ -39,14 +39,14 @@
   }
 
   @Example
-  void changeOfAKnownMachineIsNoNews() {
+  void watchEventOfAKnownMachineKeepsItsStart() {
     MachineStartTimes times = new MachineStartTimes(TRUE_EPOCH);
     times.startedAt("a", TRUE_EPOCH - HOUR, false, NOW);
     assertThat(times.startedAt("a", TRUE_EPOCH - HOUR, true, NOW)).isEqualTo(Duration.ofHours(-1));
   }
 
   @Example
-  void startOfAMachineStaysTheSameWhateverIsLearnedOfTheClock() {
+  void startOfAMachineStaysTheSameAfterAClockCorrection() {
     MachineStartTimes times = new MachineStartTimes(TRUE_EPOCH + HOUR);
     Duration before = times.startedAt("a", TRUE_EPOCH - 5_000, false, NOW);
     times.startedAt("b", TRUE_EPOCH + 20_000, true, NOW);
--- a/src/test/java/fordridge/runtime/WatchReadTest.java
+++ b/src/test/java/fordridge/runtime/WatchReadTest.java
@@ -30,12 +30,12 @@
 class WatchReadTest {
   private static final Duration INPUT_COST = Duration.ofMillis(5);
   private static final Duration DRAINED_AT = Duration.ofMillis(300);
-  private static final Duration READ_EVERY = Duration.ofMillis(50);
-  private static final Duration LATEST_OFFER = Duration.ofMillis(100);
+  private static final Duration READ_INTERVAL = Duration.ofMillis(50);
+  private static final Duration MAX_OFFER_DELAY = Duration.ofMillis(100);
   private static final int OFFERS = 400;
 
   /** The machine's connections, and when a set-up was written on one. */
-  private final class Line implements MachineTransport {
+  private final class FakeTransport implements MachineTransport {
     final List<MachineConnection> opening = new ArrayList<>();
     final List<Duration> writtenAt = new ArrayList<>();
 
@@ -87,8 +87,8 @@
   }
 
   /** How each claim ended. */
-  private static final class Ends implements MachineConnectionListener {
-    final Map<PlacementAttempt, Outcome> ends = new HashMap<>();
+  private static final class OutcomeRecorder implements MachineConnectionListener {
+    final Map<PlacementAttempt, Outcome> byAttempt = new HashMap<>();
 
     @Override
     public boolean confirmSend(PlacementAttempt attempt) {
@@ -99,8 +99,8 @@
     public void attemptAccepted(PlacementAttempt attempt, String description) {}
 
     @Override
-    public void attemptEnded(PlacementAttempt attempt, Outcome end, OutcomeReason why) {
-      ends.put(attempt, end);
+    public void attemptEnded(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
+      byAttempt.put(attempt, outcome);
     }
 
     @Override
@@ -110,12 +110,12 @@
     public void unknownVmAccepted(String vmId, Machine accepting) {}
 
     @Override
-    public void attemptEndedUnanswered(PlacementAttempt attempt, Outcome end, OutcomeReason why) {
-      ends.put(attempt, end);
+    public void attemptEndedUnanswered(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
+      byAttempt.put(attempt, outcome);
     }
 
     @Override
-    public void attemptWithdrawn(PlacementAttempt attempt, boolean hasGoneOut) {}
+    public void attemptWithdrawn(PlacementAttempt attempt, boolean wasSent) {}
 
     @Override
     public void releaseSent(String vmId, Machine asked) {}
@@ -131,16 +131,16 @@
         Machine machine, boolean healthy, boolean withLoadReport, Duration roundTrip) {}
   }
 
-  private final Line line = new Line();
-  private final Ends ends = new Ends();
+  private final FakeTransport transport = new FakeTransport();
+  private final OutcomeRecorder outcomes = new OutcomeRecorder();
   private final Machine machine = new Machine(7);
   private final MachineConnectionPool connectionPool =
       new MachineConnectionPool(
           machine,
           new ConnectionTimeouts(Duration.ofMillis(250), Duration.ofSeconds(3)),
           new OfferAllowance(),
-          line,
-          ends);
+          transport,
+          outcomes);
   private Duration time = Duration.ZERO;
   private final EventSequencer sequencer =
       new EventSequencer(
@@ -149,9 +149,9 @@
           e -> {
             throw new AssertionError(e);
           });
-  private boolean drainRead;
+  private boolean isDrainRead;
 
-  private void costly(Runnable input) {
+  private void enterCostly(Runnable input) {
     sequencer.enter(
         () -> {
           time = time.plus(INPUT_COST);
@@ -160,8 +160,8 @@
   }
 
   private void readWatch() {
-    if (time.compareTo(DRAINED_AT) >= 0 && !drainRead) {
-      drainRead = true;
+    if (time.compareTo(DRAINED_AT) >= 0 && !isDrainRead) {
+      isDrainRead = true;
       sequencer.enter(() -> connectionPool.machineListed(Machine.Lifecycle.DRAINING, time));
     }
   }
@@ -170,8 +170,8 @@
    * All connections come up in one round of the loop, and the drain is told in the middle of it.
    */
   @Example
-  void nothingIsOfferedLongAfterADrainHoweverLongTheRound() {
-    sequencer.watch(this::readWatch, READ_EVERY);
+  void noOfferIsWrittenLongAfterADrainInALongLoopTurn() {
+    sequencer.watch(this::readWatch, READ_INTERVAL);
     for (int i = 0; i < OFFERS; i++) {
       connectionPool.offer(
           new PlacementAttempt(new Vm("vm" + i), machine, 0, time),
@@ -179,43 +179,43 @@
           false,
           time);
     }
-    for (MachineConnection connection : List.copyOf(line.opening)) {
-      costly(() -> connectionPool.connectionEstablished(connection, time));
+    for (MachineConnection connection : List.copyOf(transport.opening)) {
+      enterCostly(() -> connectionPool.connectionEstablished(connection, time));
     }
-    Duration latest = line.writtenAt.get(line.writtenAt.size() - 1);
+    Duration latest = transport.writtenAt.get(transport.writtenAt.size() - 1);
     assertThat(latest)
         .isGreaterThan(DRAINED_AT.minus(INPUT_COST))
-        .isLessThanOrEqualTo(DRAINED_AT.plus(LATEST_OFFER));
-    assertThat(ends.ends).hasSize(OFFERS - line.writtenAt.size()).containsValue(Outcome.NOT_SENT);
+        .isLessThanOrEqualTo(DRAINED_AT.plus(MAX_OFFER_DELAY));
+    assertThat(outcomes.byAttempt).hasSize(OFFERS - transport.writtenAt.size()).containsValue(Outcome.NOT_SENT);
   }
 
   /**
    * Guards the figure of the latest offer, counted from the last read that did not know of a drain.
    */
   @Example
-  void whatTheLoopReadFromTheWatchIsNoReadOfItsOwn() {
+  void eventEnteredFromTheWatchDoesNotCountAsAWatchRead() {
     List<Duration> known = new ArrayList<>();
-    sequencer.watch(() -> {}, READ_EVERY);
-    time = READ_EVERY;
+    sequencer.watch(() -> {}, READ_INTERVAL);
+    time = READ_INTERVAL;
     sequencer.enter(() -> {});
-    time = time.plus(READ_EVERY.multipliedBy(2));
+    time = time.plus(READ_INTERVAL.multipliedBy(2));
     sequencer.enterFromWatch(() -> known.add(sequencer.watchReadAt()));
-    assertThat(known).containsExactly(READ_EVERY);
+    assertThat(known).containsExactly(READ_INTERVAL);
   }
 
   @Example
-  void theWatchIsReadNoMoreOftenThanItIsDueAndNeverFromWithin() {
+  void watchIsReadOnlyWhenDueAndNeverReentrantly() {
     List<Duration> reads = new ArrayList<>();
     sequencer.watch(
         () -> {
           reads.add(time);
           sequencer.enter(() -> {});
         },
-        READ_EVERY);
+        READ_INTERVAL);
     for (int i = 0; i < OFFERS; i++) {
-      costly(() -> sequencer.enter(() -> {}));
+      enterCostly(() -> sequencer.enter(() -> {}));
     }
-    assertThat(reads).hasSize((int) (OFFERS * INPUT_COST.toMillis() / READ_EVERY.toMillis()) - 1);
+    assertThat(reads).hasSize((int) (OFFERS * INPUT_COST.toMillis() / READ_INTERVAL.toMillis()) - 1);
     assertThat(sequencer.watchReadAt()).isEqualTo(reads.get(reads.size() - 1));
   }
 }
--- a/src/test/java/fordridge/session/ClientSessionsTest.java
+++ b/src/test/java/fordridge/session/ClientSessionsTest.java
@@ -145,14 +145,14 @@
   }
 
   @Example
-  void eventLoopLagIsAllowedForAWhileAndForgotten() {
-    EventLoopLag l = new EventLoopLag(Duration.ofSeconds(2));
-    l.seen(Duration.ofMillis(400), Duration.ofMillis(100));
-    l.seen(Duration.ofMillis(5), Duration.ofMillis(2200));
-    assertThat(l.allowance(Duration.ofMillis(2300))).isEqualTo(Duration.ofMillis(400));
-    l.seen(Duration.ofMillis(7), Duration.ofMillis(4300));
-    assertThat(l.allowance(Duration.ofMillis(4400))).isEqualTo(Duration.ofMillis(7));
-    assertThat(l.allowance(Duration.ofSeconds(60))).isEqualTo(Duration.ZERO);
+  void eventLoopLagCountsForUpToTwoWindows() {
+    EventLoopLag lag = new EventLoopLag(Duration.ofSeconds(2));
+    lag.seen(Duration.ofMillis(400), Duration.ofMillis(100));
+    lag.seen(Duration.ofMillis(5), Duration.ofMillis(2200));
+    assertThat(lag.allowance(Duration.ofMillis(2300))).isEqualTo(Duration.ofMillis(400));
+    lag.seen(Duration.ofMillis(7), Duration.ofMillis(4300));
+    assertThat(lag.allowance(Duration.ofMillis(4400))).isEqualTo(Duration.ofMillis(7));
+    assertThat(lag.allowance(Duration.ofSeconds(60))).isEqualTo(Duration.ZERO);
   }
 
   @Example
@@ -165,7 +165,7 @@
 
   /** A client that never acknowledges costs no more than the limit, and may request by name. */
   @Example
-  void discardedResponsesAreNotResumedFromButSentAgainByName() {
+  void discardedResponsesAreSentAgainOnlyForRepeatedRequests() {
     ClientSession session = sessions.clientConnected("a", "", 0);
     for (int i = 0; i < 60; i++) {
       sessions.requestReceived(session, "v" + i);
--- a/src/test/java/fordridge/session/NoticeDeliveriesTest.java
+++ b/src/test/java/fordridge/session/NoticeDeliveriesTest.java
@@ -18,14 +18,14 @@
   private final NoticeDeliveries<String> deliveries = new NoticeDeliveries<>(3, displaced::add);
   private Duration now = Duration.ofSeconds(10);
 
-  private Optional<String> end(String vmId, String own, String... former) {
+  private Optional<String> vmTerminated(String vmId, String own, String... former) {
     TerminationNotice notice = new TerminationNotice(vmId, Outcome.DONE, now.plus(LIFETIME));
     return deliveries.add(notice, Optional.ofNullable(own), List.of(former), now);
   }
 
   private void acknowledgeOne(String connection) {
     deliveries.connectionUsed(connection);
-    end("vm of " + connection, connection);
+    vmTerminated("vm of " + connection, connection);
     deliveries.acknowledged("vm of " + connection, connection);
   }
 
@@ -35,10 +35,10 @@
   }
 
   @Example
-  void acknowledgementFromAConnectionThatWasNotToldIsNone() {
+  void acknowledgementOnAConnectionWithoutTheNoticeIsIgnored() {
     deliveries.connectionUsed("own");
     deliveries.connectionUsed("stranger");
-    end("vm", "own");
+    vmTerminated("vm", "own");
     deliveries.acknowledged("vm", "stranger");
     deliveries.acknowledged("unknown", "stranger");
     assertThat(deliveries.isUndelivered("vm")).isTrue();
@@ -52,37 +52,37 @@
     acknowledgeOne("client");
     acknowledgeOne("stranger");
     deliveries.connectionUsed("latest");
-    assertThat(end("vm", null)).contains("client");
+    assertThat(vmTerminated("vm", null)).contains("client");
     assertThat(overdueAfter(350)).containsExactly("stranger");
     assertThat(overdueAfter(350)).containsExactly("latest");
     assertThat(overdueAfter(350)).as("each once").isEmpty();
   }
 
   @Example
-  void noticeOfAKnownClientGoesOnlyWhereSomebodyAcknowledges() {
+  void noticeOfAKnownClientIsResentOnlyOnConnectionsThatAcknowledge() {
     acknowledgeOne("client");
     deliveries.connectionUsed("own");
     deliveries.connectionUsed("never acknowledging");
-    assertThat(end("vm", "own")).contains("own");
+    assertThat(vmTerminated("vm", "own")).contains("own");
     assertThat(overdueAfter(349)).isEmpty();
     assertThat(overdueAfter(1)).containsExactly("client");
     assertThat(overdueAfter(1000)).isEmpty();
   }
 
   @Example
-  void formerConnectionsOfItsClientComeFirst() {
+  void formerConnectionsOfTheClientAreTriedFirst() {
     acknowledgeOne("other");
     deliveries.connectionUsed("former");
     deliveries.connectionUsed("own");
-    assertThat(end("vm", "own", "former")).contains("own");
+    assertThat(vmTerminated("vm", "own", "former")).contains("own");
     assertThat(overdueAfter(350)).containsExactly("former");
     assertThat(overdueAfter(350)).containsExactly("other");
   }
 
   @Example
-  void noticeIsSentAgainWhereItsOnlyConnectionHasClosedAndAnotherComes() {
+  void noticeIsResentOnTheNextConnectionAfterItsOnlyOneClosed() {
     deliveries.connectionUsed("own");
-    end("vm", "own");
+    vmTerminated("vm", "own");
     deliveries.connectionClosed("own");
     assertThat(deliveries.takeDeferred(now)).isEmpty();
     deliveries.connectionUsed("next");
@@ -92,9 +92,9 @@
   }
 
   @Example
-  void oldestNoticeIsDisplacedAtTheBoundAndExpiredOnesAreReturned() {
+  void oldestNoticeIsDisplacedAtTheLimitAndExpiredOnesAreReturned() {
     for (String vmId : List.of("one", "two", "three", "four")) {
-      end(vmId, null);
+      vmTerminated(vmId, null);
     }
     assertThat(deliveries.isUndelivered("one")).isFalse();
     assertThat(deliveries.describe()).contains("without a connection 3", "displaced 1");
--- a/src/test/java/fordridge/session/PendingResponsesTest.java
+++ b/src/test/java/fordridge/session/PendingResponsesTest.java
@@ -43,7 +43,7 @@
   }
 
   @Example
-  void noticeThatIsNotAcknowledgedGoesOnceToAClientThatAcknowledges() {
+  void unacknowledgedNoticeIsResentOnceToAClientThatAcknowledges() {
     responses.requestReceived("a", "silent");
     responses.takeAccepted("a");
     responses.requestReceived("b", "lively");
@@ -63,7 +63,7 @@
   }
 
   @Example
-  void requestsOverTheBoundAreNotAdmitted() {
+  void requestsOverTheLimitAreNotAdmitted() {
     for (String vmId : List.of("a", "b", "c")) {
       assertThat(responses.requestReceived(vmId, "connection")).isEqualTo(Admission.ADMITTED);
     }
@@ -102,7 +102,7 @@
 
   /** Notices used to go to the last connection with a request, whose client may never listen. */
   @Example
-  void noticeOfClosedConnectionGoesToOneThatHasAcknowledgedBefore() {
+  void noticeOfAClosedConnectionGoesToOneThatHasAcknowledgedBefore() {
     responses.requestReceived("one", "connection");
     responses.takeAccepted("one");
     responses.requestReceived("two", "acknowledging");
@@ -119,7 +119,7 @@
   }
 
   @Example
-  void vmThatIsHandedOverOnceMoreIsToldWhereItsClientHasCome() {
+  void noticeOfAVmHandedOverAgainGoesToTheNewConnection() {
     responses.requestReceived("running", "first");
     responses.takeAccepted("running");
     responses.requestReceived("pending", "first");
@@ -143,12 +143,12 @@
 
   /** One response each while the connection is open, consistent counts, and nothing left over. */
   @Property(tries = 200, seed = "1212")
-  void noResponseIsSentTwiceAndNothingIsKept(@ForAll long seed) {
+  void noResponseIsSentTwiceAndNoStateIsLeft(@ForAll long seed) {
     Random random = new Random(seed);
     PendingResponses<Integer> registry =
         new PendingResponses<>(20, 20, NOTICE_LIFETIME, displaced -> {});
     Map<String, Integer> requested = new HashMap<>();
-    Set<String> answered = new HashSet<>();
+    Set<String> responded = new HashSet<>();
     List<String> vmIds = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
       int connection = random.nextInt(5);
@@ -161,7 +161,7 @@
           if (registry.requestReceived(vmId, connection) == Admission.ADMITTED) {
             vmIds.add(vmId);
             requested.put(vmId, connection);
-            answered.remove(vmId);
+            responded.remove(vmId);
           }
         }
         case 1 -> {
@@ -170,7 +170,7 @@
               .ifPresent(
                   recipient -> {
                     assertThat(recipient).isEqualTo(requested.get(vmId));
-                    assertThat(answered.add(vmId)).isTrue();
+                    assertThat(responded.add(vmId)).isTrue();
                   });
         }
         case 2 -> registry.vmTerminated(vmId, Outcome.DONE, NOW);
@@ -178,7 +178,7 @@
         default ->
             registry
                 .connectionClosed(connection)
-                .forEach(abandoned -> assertThat(answered).doesNotContain(abandoned));
+                .forEach(abandoned -> assertThat(responded).doesNotContain(abandoned));
       }
       assertThat(registry.pendingRequests()).isBetween(0, 20);
     }
