--- a/src/main/java/fordridge/json/AcceptRetryHandler.java
+++ b/src/main/java/fordridge/json/AcceptRetryHandler.java
@@ -7,16 +7,16 @@
 import java.util.function.IntConsumer;
 
 /**
- * Goes on accepting soon after the system could not accept a connection (out of descriptors or
- * buffers, a connection aborted in the queue). Without it the acceptor pauses for a second on each
- * error, and clients that are connected by the kernel wait for as long. The listening channel stays
- * readable meanwhile, so a short pause is needed, or the loop would spin. Confined to the event
- * loop.
+ * Resumes accepting shortly after the system failed to accept a connection (out of descriptors or
+ * buffers, or a connection aborted in the queue). Without this handler Netty's acceptor pauses for
+ * a second after each error, and clients whose connections the kernel has established wait as long.
+ * The listening channel stays readable meanwhile, so a short pause is needed, or the event loop
+ * would spin. Confined to the event loop.
  */
 final class AcceptRetryHandler extends ChannelInboundHandlerAdapter {
   private static final Duration RETRY_DELAY = Duration.ofMillis(5);
 
-  /** A failure so long after the one before begins a new row. */
+  /** A failure that comes this long after the previous one starts a new series. */
   private static final Duration SERIES_GAP = Duration.ofMillis(200);
 
   private final EventLoopTimers timers;
@@ -26,10 +26,15 @@
   private boolean isPaused;
   private long lastFailureNanos;
 
-  /** The first of a row of failures, of which each comes soon after the one before. */
+  /**
+   * The first failure of the current series, in which each failure comes soon after the one before.
+   */
   private long firstFailureNanos;
 
-  /** The consumer gets how many connections each cycle of accepting brought. */
+  /**
+   * Creates a handler; {@code onCycleCompleted} gets the number of connections accepted in each
+   * read cycle.
+   */
   AcceptRetryHandler(EventLoopTimers timers, IntConsumer onCycleCompleted) {
     this.timers = timers;
     this.onCycleCompleted = onCycleCompleted;
@@ -72,14 +77,14 @@
   }
 
   /**
-   * Whether connections may wait that the system has just refused to hand out; not after a row of
-   * failures that is longer than {@code limit}.
+   * Whether connections may be waiting that the system has just failed to accept; false once the
+   * series of failures has lasted for {@code limit}.
    */
   boolean isRefused(Duration limit) {
     return isPaused && System.nanoTime() - firstFailureNanos < limit.toNanos();
   }
 
-  /** How often the system could not accept a connection. */
+  /** The number of times that the system failed to accept a connection. */
   long failureCount() {
     return failureCount;
   }
--- a/src/main/java/fordridge/json/ClientConnection.java
+++ b/src/main/java/fordridge/json/ClientConnection.java
@@ -12,19 +12,22 @@
 import java.util.Map;
 
 /**
- * One client's connection: turns its lines into calls of the {@link ClientRequestHandler}, and
- * responses into lines. Confined to the event loop.
+ * One client's connection: decodes its lines into calls of the {@link ClientRequestHandler}, and
+ * encodes responses as lines. Confined to the event loop.
  *
- * <p>What is written goes out at the end of the loop's turn, see {@link ClientServer#flush}.
+ * <p>What is written is flushed at the end of the event loop's turn, see {@link
+ * ClientServer#flush}.
  */
 public final class ClientConnection extends LineCodec {
-  /** Time between {@link #closeAfterResponse} and the close. */
+  /**
+   * The time between {@link #closeAfterResponse} and the close, in which written output can arrive.
+   */
   private static final Duration CLOSE_DELAY = Duration.ofMillis(500);
 
   /**
-   * Output that the client has not taken in: with more than this the connection is closed. It is
-   * read from until then: otherwise a client could not be seen to leave, and its requests would go
-   * on being offered to machines.
+   * The maximum output that is not sent because the client does not read; a connection with more is
+   * closed. Input is read until then: otherwise the scheduler would not notice that the client
+   * closed the connection, and would go on offering its requests to machines.
    */
   private static final int MAX_PENDING_OUTPUT_BYTES = 4 * MAX_LINE_BYTES;
 
@@ -37,32 +40,39 @@
     this.server = server;
   }
 
-  /** Adds this connection to a channel's handlers, behind what watches its reads. */
+  /** Adds this connection to a channel's pipeline, behind the handler that tracks its reads. */
   void addWithReadProgressTo(ChannelPipeline pipeline) {
     pipeline.addLast(new ReadProgress(isReadToEnd -> server.readCycleCompleted(this, isReadToEnd)));
     addTo(pipeline);
   }
 
-  /** Reads what has come by now, not only when the loop gets to this connection. */
+  /**
+   * Reads the input that has arrived, without waiting for the event loop to get to this connection.
+   */
   void readNow() {
-    if (channel instanceof AbstractNioChannel nioChannel && channel.isActive() && isReadingEnabled()) {
+    if (channel instanceof AbstractNioChannel nioChannel
+        && channel.isActive()
+        && isReadingEnabled()) {
       nioChannel.unsafe().read();
     }
   }
 
-  /** For how long it has had more input than could be read: what is read now came before. */
+  /**
+   * How long this connection has had more input than could be read: a message that is read now may
+   * have waited for that long.
+   */
   public Duration unreadFor() {
     return server.unreadFor(this);
   }
 
-  /** Its number at the client's host, for logs; zero where it has none. */
+  /** The client's port, for logs; zero if there is none. */
   public int remotePort() {
     return channel != null && channel.remoteAddress() instanceof InetSocketAddress address
         ? address.getPort()
         : 0;
   }
 
-  /** Whether what its client sends is still taken in. */
+  /** Whether input from the client is still processed. */
   boolean isReadingEnabled() {
     return !isReadingStopped;
   }
@@ -100,7 +110,7 @@
       case "hb" -> write("hb_ok", id, handler.isReady() ? 1 : 0, null);
       case "ack" -> handler.terminationAcknowledged(this, id);
       case "tell", "wait", "hb_ok", "shift" -> {}
-      default -> rejectInput("line: field 't' is not a known type: " + type);
+      default -> rejectInput("line: field 't' is not a known message type: " + type);
     }
   }
 
@@ -114,35 +124,38 @@
     closeAfterResponse(CloseReason.MALFORMED_INPUT);
   }
 
-  /** The VM runs; the description is the one that its machine gave. */
+  /** Sends that the VM was accepted; the description is the one that its machine sent. */
   public void sendAccepted(String vmId, String description) {
     write("up", vmId, NO_CODE, description);
   }
 
-  /** The request is rejected; it may be repeated after {@code retryAfter}, zero: no advice. */
+  /**
+   * Sends that the request was rejected; it may be retried after {@code retryAfter}, which is left
+   * out if it is zero.
+   */
   public void sendRejected(String vmId, Duration retryAfter) {
     String waitMillis = retryAfter.isZero() ? null : Long.toString(retryAfter.toMillis());
     write("down", vmId, TerminationCause.REJECTED.code(), null, "wait", waitMillis);
   }
 
-  /** The request has failed, or the VM is over. */
+  /** Sends that the request failed or that the VM terminated. */
   public void sendTerminated(String vmId, TerminationCause cause) {
     write("down", vmId, cause.code(), null);
   }
 
-  /** The VM is being stopped, and its client is to request it anew. */
+  /** Sends that the VM is being stopped and that its client has to request it again. */
   public void sendMigration(String vmId) {
     write("shift", vmId, NO_CODE, null);
   }
 
-  /** The client's termination of a running VM is being carried out. */
+  /** Sends that the client's termination of a running VM is being carried out. */
   public void sendTerminationAccepted(String vmId) {
     write("ack", vmId, NO_CODE, null);
   }
 
   /**
-   * Stops reading, and closes the connection once what was written had time to arrive. No request
-   * of the connection may be pending by then.
+   * Stops reading, and closes the connection after a delay in which written output can arrive. No
+   * request of the connection may be pending at the close.
    */
   public void closeAfterResponse(CloseReason reason) {
     if (!isReadingStopped && channel != null) {
@@ -153,7 +166,7 @@
     }
   }
 
-  /** Stops reading, and ends the output behind what was written. */
+  /** Stops reading, and shuts down the output after what was written. */
   @SuppressWarnings("FutureReturnValueIgnored") // Failures close the channel.
   void finishOutput() {
     if (channel instanceof SocketChannel socket && channel.isActive()) {
@@ -164,17 +177,17 @@
     }
   }
 
-  /** Closes the connection; the handler is told before this returns. */
+  /** Closes the connection; the handler is notified before this returns. */
   public void close(CloseReason reason) {
     if (channel != null) {
-      // Not when the loop gets to it: under a flood the same connection would be chosen to make
-      // room again and again.
+      // Reported here and not only in channelInactive, which the loop calls later: in a flood of
+      // new connections the same connection would be chosen to be closed again and again.
       server.connectionClosed(this, reason);
       closeChannel();
     }
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // The end of the close is seen in channelInactive.
+  @SuppressWarnings("FutureReturnValueIgnored") // channelInactive reports the close.
   private void closeChannel() {
     channel.close();
   }
@@ -185,7 +198,8 @@
       return;
     }
     if (!channel.isActive()) {
-      // Closed, and the loop has not come to say so: what was to be sent must go elsewhere now.
+      // Closed, but channelInactive was not called yet. Reported now, as what was to be sent on
+      // this connection has to go to another one at once.
       server.connectionClosed(this, CloseReason.BY_CLIENT);
       return;
     }
@@ -207,7 +221,10 @@
     }
   }
 
-  /** The output that the client has not taken in; zero once the channel is closed. */
+  /**
+   * The written output that is not sent yet, as the client does not read it; zero once the channel
+   * is closed.
+   */
   long pendingOutputBytes() {
     ChannelOutboundBuffer pending = channel.unsafe().outboundBuffer();
     return pending == null ? 0 : pending.totalPendingWriteBytes();
@@ -217,7 +234,10 @@
     lastUsedNanos = System.nanoTime();
   }
 
-  /** When a request came or something was written last. */
+  /**
+   * When a request was last received or a message last written, on the clock of {@link
+   * System#nanoTime}.
+   */
   long lastUsedNanos() {
     return lastUsedNanos;
   }
--- a/src/main/java/fordridge/json/ClientRequest.java
+++ b/src/main/java/fordridge/json/ClientRequest.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 
 /**
- * A client's placement request as it came on the wire, its fields not validated yet: a field that
- * is absent is null, and numbers are text still.
+ * A client's placement request as received, before its fields are validated: an absent field is
+ * null, and numbers are still text.
  *
  * @param vmId the id of the VM, 16 hex digits
  * @param priorityClass the name of the priority class
  * @param tenant the name of the tenant
- * @param key the routing key; null also where it is not a string
+ * @param key the routing key; null if it is absent or not a string
  * @param idempotencyKey the idempotency key
  * @param timeLeftMillis how long the client waits for a response
  * @param lifetimeHintMillis how long the VM is expected to run
  * @param isRetry whether the field that marks a client's retry is set
  * @param extras further fields, as {@code name:value} joined by semicolons
- * @param description the VM's description, forwarded as it is
+ * @param description the VM's description, forwarded unchanged
  */
 public record ClientRequest(
     String vmId,
@@ -47,7 +47,7 @@
     return value == null ? null : value.toString();
   }
 
-  /** The extra of this very name, or null if there is none. */
+  /** The value of the extra with exactly this name, or null if there is none. */
   public String extra(String name) {
     if (extras == null) {
       return null;
--- a/src/main/java/fordridge/json/ClientRequestHandler.java
+++ b/src/main/java/fordridge/json/ClientRequestHandler.java
@@ -1,11 +1,11 @@
 package fordridge.json;
 
 /**
- * Receives what clients request. All methods are called on the event loop, in the order in which
+ * Receives the requests of clients. All methods are called on the event loop, in the order in which
  * the sockets were read.
  */
 public interface ClientRequestHandler {
-  /** Whether the scheduler has started; health checks say so. */
+  /** Whether the scheduler has started; reported in responses to health checks. */
   boolean isReady();
 
   /** Whether the connection has a pending request or a running VM. */
@@ -14,17 +14,18 @@
   /** A client requests the placement of a VM. */
   void placementRequested(ClientConnection connection, ClientRequest request);
 
-  /** A client withdraws a pending request, or ends a running VM. */
+  /** A client withdraws a pending request or terminates a running VM. */
   void terminationRequested(ClientConnection connection, String vmId);
 
-  /** A client has received the termination notice of a VM. */
+  /** A client acknowledges the termination notice of a VM. */
   void terminationAcknowledged(ClientConnection connection, String vmId);
 
-  /** The connection is closed, from either side; called once for each. */
+  /** A connection was closed, by either side; called once for each connection. */
   void connectionClosed(ClientConnection connection);
 
   /**
-   * The connection received what can't be decoded; it is closed once what is written now is out.
+   * A connection received input that can't be decoded; it is closed after the output written in
+   * this call was sent.
    */
   void malformedInputReceived(ClientConnection connection);
 }
--- a/src/main/java/fordridge/json/ClientServer.java
+++ b/src/main/java/fordridge/json/ClientServer.java
@@ -21,26 +21,30 @@
 import java.util.Set;
 
 /**
- * Accepts clients' connections and keeps them within bounds: some KiB are read from each per turn
- * of the loop, so that none is read at the others' cost; a number of connections; a time without
- * use. It tells whether anything is left unread. Confined to the event loop but for the
- * construction and {@link #listen}.
+ * Accepts client connections and bounds the resources that they use: only a few KiB are read from
+ * each per turn of the event loop, so that no connection delays the others; the number of
+ * connections is limited; unused ones are closed. Also tracks whether any input is left unread.
+ * Confined to the event loop except for the constructor and {@link #listen}.
  */
 public final class ClientServer {
   /**
-   * An unused connection is closed after this; the protocol grants a silent client three seconds.
+   * Time after which an unused connection is closed; the protocol grants a silent client three
+   * seconds.
    */
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(2);
 
   private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(250);
   private static final int ACCEPT_BACKLOG = 1024;
 
-  /** The default of the listening channel; a cycle with fewer has emptied the queue. */
+  /**
+   * Netty's default for the listening channel; a read cycle that accepts fewer has emptied the
+   * accept queue.
+   */
   private static final int MAX_ACCEPTS_PER_CYCLE = 16;
 
   /**
-   * A connection that brings more than can be read for so long holds up the others no longer: what
-   * it sends is taken in as it is read.
+   * A connection with more input than can be read for this long no longer delays decisions, see
+   * {@link #hasUnreadInput}; its input is processed as it is read.
    */
   private static final Duration MAX_UNREAD_TIME = Duration.ofSeconds(2);
 
@@ -51,25 +55,30 @@
   private int maxConnections;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
-  /** Connections whose last read cycle ended before their input did, and since when that is so. */
+  /**
+   * Connections whose last read cycle ended before all input was read, each with the time since
+   * when it has had unread input.
+   */
   private final Map<ClientConnection, Long> unreadSinceNanos = new HashMap<>();
 
-  /** Of these, the ones that the last pass has read, and not to their end. */
+  /**
+   * Those of {@link #unreadSinceNanos} that the last pass read, but not to the end of their input.
+   */
   private final Set<ClientConnection> partlyReadInPass = new LinkedHashSet<>();
 
-  /** Of these, the ones that have been so for too long. */
+  /** Those of {@link #unreadSinceNanos} that have had unread input for {@link #MAX_UNREAD_TIME}. */
   private final Set<ClientConnection> unreadTooLong = new LinkedHashSet<>();
 
   private long unreadTooLongCount;
   private boolean mayHaveUnaccepted;
 
-  /** Connections with output that was written and not flushed yet. */
+  /** Connections with written output that is not flushed yet. */
   private final Set<ClientConnection> unflushed = new LinkedHashSet<>();
 
   private final Map<CloseReason, Long> closeCounts = new EnumMap<>(CloseReason.class);
   private Channel serverChannel;
 
-  /** Creates a server that listens nowhere yet, for at most so many connections at once. */
+  /** Creates a server that does not listen yet, for at most {@code maxConnections} connections. */
   public ClientServer(
       EventLoopGroup loop,
       EventLoopTimers timers,
@@ -84,7 +93,7 @@
             timers, accepted -> mayHaveUnaccepted = accepted >= MAX_ACCEPTS_PER_CYCLE);
   }
 
-  /** Starts to listen; the future completes once the address is bound. */
+  /** Starts listening; the future completes once the address is bound. */
   public ChannelFuture listen(InetSocketAddress address) {
     ServerBootstrap bootstrap =
         new ServerBootstrap()
@@ -109,37 +118,43 @@
     return bound;
   }
 
-  /** The address that is listened at. */
+  /** The address that the server listens on. */
   public InetSocketAddress address() {
     return (InetSocketAddress) serverChannel.localAddress();
   }
 
-  /** Adds a client's connection to a channel that needs no socket and no event loop. */
+  /** Adds a client connection to a channel that needs no socket and no event loop. */
   public static void embed(ClientRequestHandler handler, ChannelPipeline pipeline) {
     ClientConnection connection = new ClientConnection(new ClientServer(null, null, handler, 1));
     connection.addTo(pipeline);
     connection.channelActive(pipeline.firstContext());
   }
 
-  /** Sends what was written in this turn of the loop. */
+  /** Flushes the output that was written in this turn of the event loop. */
   public void flush() {
     while (!unflushed.isEmpty()) {
       unflushed.iterator().next().flush();
     }
   }
 
-  /** Changes the maximum number of connections; it holds from the next connection on. */
+  /** Changes the maximum number of connections; it applies from the next new connection on. */
   public void setMaxConnections(int newMaxConnections) {
     maxConnections = newMaxConnections;
   }
 
-  /** A pass over all sockets that are ready begins: what it does not read has nothing to read. */
+  /**
+   * Starts a pass over all ready sockets: a connection that the pass does not read has no unread
+   * input.
+   */
   public void startReadPass() {
     mayHaveUnaccepted = false;
     partlyReadInPass.clear();
   }
 
-  /** Whether connections may wait to be accepted, or input to be read, after the last pass. */
+  /**
+   * Whether, after the last pass, connections may be waiting to be accepted or input to be read. A
+   * connection that has had unread input for {@link #MAX_UNREAD_TIME} no longer counts.
+   */
   public boolean hasUnreadInput() {
     unreadSinceNanos.keySet().retainAll(partlyReadInPass);
     unreadTooLong.retainAll(partlyReadInPass);
@@ -157,23 +172,32 @@
     return false;
   }
 
-  /** For how long the connection has had input that is not read yet. */
+  /** How long the connection has had unread input. */
   Duration unreadFor(ClientConnection connection) {
     Long sinceNanos = unreadSinceNanos.get(connection);
     return sinceNanos == null ? Duration.ZERO : Duration.ofNanos(System.nanoTime() - sinceNanos);
   }
 
-  /** Whether the system refuses to hand out connections that may wait; for a while only. */
+  /**
+   * Whether the system fails to accept connections that may be waiting; false once it has failed
+   * for {@link #MAX_UNREAD_TIME}.
+   */
   public boolean isAcceptingRefused() {
     return acceptRetry.isRefused(MAX_UNREAD_TIME);
   }
 
-  /** Connections that brought more than could be read for so long that they held up no others. */
+  /**
+   * The number of times that a connection had unread input for {@link #MAX_UNREAD_TIME} and so no
+   * longer delayed decisions.
+   */
   public long unreadTooLongCount() {
     return unreadTooLongCount;
   }
 
-  /** A connection was read, to its end or not; one that is not read any more holds up nothing. */
+  /**
+   * Records whether a connection was read to the end of its input; one that is closed or no longer
+   * read counts as read.
+   */
   void readCycleCompleted(ClientConnection connection, boolean isReadToEnd) {
     if (isReadToEnd || !connection.isReadingEnabled() || !connections.contains(connection)) {
       unreadSinceNanos.remove(connection);
@@ -184,7 +208,7 @@
     }
   }
 
-  /** Whether any client has not taken in yet what was written to it. */
+  /** Whether any connection has written output that is not sent yet. */
   public boolean hasPendingOutput() {
     for (ClientConnection connection : connections) {
       if (connection.pendingOutputBytes() > 0) {
@@ -194,12 +218,12 @@
     return false;
   }
 
-  /** How often the system could not accept a connection since the start. */
+  /** The number of times since the start that the system failed to accept a connection. */
   public long acceptFailureCount() {
     return acceptRetry.failureCount();
   }
 
-  /** How many connections were closed since the start, and why. */
+  /** The number of connections closed since the start, by reason. */
   public Map<CloseReason, Long> closeCounts() {
     return closeCounts;
   }
@@ -210,9 +234,9 @@
   }
 
   /**
-   * Stops listening, and tells all clients that nothing more is read from them and nothing more
-   * comes. What was written before still arrives, which it may not where a connection is closed
-   * with unread input. No request may be pending.
+   * Stops listening, stops reading from all clients, and shuts down the output to them. Output that
+   * was written before still arrives; it might not if a connection were closed while it has unread
+   * input. No request may be pending.
    */
   public void finishOutput() {
     if (serverChannel != null) {
@@ -249,11 +273,13 @@
 
   void connectionOpened(ClientConnection connection) {
     connections.add(connection);
-    // Ends with the newcomer: after a reload with a lower limit more may be in use than it allows.
+    // The last iteration closes the new connection itself: after a reload with a lower limit, more
+    // connections may be in use than the limit allows.
     for (int tries = connections.size(); isOverLimitWith(connection); tries--) {
       closeIdlestConnection(connection, tries > 0);
     }
-    // Only now: what is read has to be answered, and a newcomer may have been closed.
+    // Read only now: requests that are read have to be answered, and the new connection may have
+    // been closed above.
     if (connections.contains(connection)) {
       connection.readNow();
     }
@@ -263,7 +289,7 @@
     return connections.size() > maxConnections && connections.contains(newConnection);
   }
 
-  /** Passes on the first call for each connection. */
+  /** Reports a close to the handler; only the first call for each connection has an effect. */
   void connectionClosed(ClientConnection connection, CloseReason reason) {
     unreadSinceNanos.remove(connection);
     partlyReadInPass.remove(connection);
@@ -278,7 +304,7 @@
     unflushed.add(connection);
   }
 
-  /** Whether the connection had anything to flush. */
+  /** Removes the connection from those to be flushed; returns whether it had anything to flush. */
   boolean cancelFlush(ClientConnection connection) {
     return unflushed.remove(connection);
   }
@@ -290,7 +316,8 @@
         idle.add(connection);
       }
     }
-    // Where the loop was late, a request may have come long ago: the sockets are read first.
+    // If the loop was delayed, a request may have been waiting for long: the sockets are read
+    // first.
     if (!idle.isEmpty()) {
       timers.runAfter(Duration.ZERO, () -> closeIfStillIdle(idle));
     }
@@ -310,17 +337,18 @@
   }
 
   /**
-   * Closes the connection that was idle longest, unless it is found in use; the newcomer itself if
-   * all others are in use.
+   * Closes the connection that has been idle longest, unless reading its socket shows that it is in
+   * use; closes the new connection if all others are in use.
    */
   private void closeIdlestConnection(ClientConnection newConnection, boolean mayCloseOthers) {
     ClientConnection idlest = mayCloseOthers ? idlestExcept(newConnection) : newConnection;
     long usedNanos = idlest.lastUsedNanos();
     if (idlest != newConnection) {
-      // A handover may wait in its socket, and would be lost with it.
+      // A handover may be waiting in the socket and would be lost with the connection.
       idlest.readNow();
     }
-    // What was read just now has to be answered, or is answered and not sent yet.
+    // If it was used just now, a request that was read has to be answered, or its response is not
+    // sent yet.
     if (idlest.lastUsedNanos() == usedNanos && !handler.isInUse(idlest)) {
       idlest.close(CloseReason.OVER_LIMIT);
     }
--- a/src/main/java/fordridge/json/CloseReason.java
+++ b/src/main/java/fordridge/json/CloseReason.java
@@ -1,19 +1,19 @@
 package fordridge.json;
 
-/** Why a client's connection was closed, for logs and statistics. */
+/** Why a client connection was closed, for logs and statistics. */
 public enum CloseReason {
-  /** The client closed it, or the network did. */
+  /** The client or the network closed it. */
   BY_CLIENT,
-  /** It carried nothing for a while. */
+  /** It was not used for a while. */
   IDLE,
-  /** Another connection needed its place. */
+  /** It exceeded the limit on connections, or had to be closed for a new one. */
   OVER_LIMIT,
-  /** It sent what can't be decoded. */
+  /** It sent input that can't be decoded. */
   MALFORMED_INPUT,
-  /** It sent a request that does not keep to the protocol, and has its responses. */
+  /** It sent a request that violates the protocol; the responses to it were sent. */
   INVALID_REQUEST,
-  /** It does not take in what is written to it. */
+  /** The client does not read the output written to it. */
   OUTPUT_NOT_READ,
-  /** The server ends. */
+  /** The server shuts down. */
   SHUTDOWN
 }
--- a/src/main/java/fordridge/json/ConnectFailures.java
+++ b/src/main/java/fordridge/json/ConnectFailures.java
@@ -7,13 +7,13 @@
 import java.net.NoRouteToHostException;
 import java.util.Locale;
 
-/** Tells from the exception of a failed connect whose failure it is. */
+/** Classifies the exceptions of failed connects. */
 final class ConnectFailures {
   private ConnectFailures() {}
 
   /**
-   * What the exception proves. A timeout that the kernel reports (ETIMEDOUT) comes as a {@link
-   * ConnectException} as a refusal does, and differs in its message alone.
+   * Returns the failure that the exception proves. A timeout that the kernel reports (ETIMEDOUT) is
+   * a {@link ConnectException}, as a refused connection is; only the message differs.
    */
   static ConnectFailure classify(Throwable cause) {
     if (cause instanceof ConnectTimeoutException || cause instanceof NoRouteToHostException) {
--- a/src/main/java/fordridge/json/ConnectionQuota.java
+++ b/src/main/java/fordridge/json/ConnectionQuota.java
@@ -1,14 +1,14 @@
 package fordridge.json;
 
 /**
- * Counts the connections to all machines against a limit. Not thread-safe: confined to the event
+ * Limits the number of connections to all machines together. Not thread-safe; confined to the event
  * loop.
  */
 public final class ConnectionQuota {
   private int limit;
   private int openCount;
 
-  /** Of the open ones, those that are half-closed from here and read to their end. */
+  /** Those of the open connections that the scheduler has half-closed and reads to their end. */
   private int closingCount;
 
   /** Creates a quota of at most {@code limit} connections. */
@@ -16,22 +16,22 @@
     this.limit = limit;
   }
 
-  /** Changes the limit; connections above it stay open. */
+  /** Changes the limit; connections that exceed it stay open. */
   public void setLimit(int newLimit) {
     limit = newLimit;
   }
 
-  /** The limit on all connections. */
+  /** The maximum number of connections to all machines. */
   public int limit() {
     return limit;
   }
 
-  /** Connections that are open, or being opened or closed. */
+  /** The number of connections that are open, or being opened or closed. */
   public int openCount() {
     return openCount;
   }
 
-  /** Connections that are open and not being closed. */
+  /** The number of connections that are open and not being closed. */
   public int inUseCount() {
     return openCount - closingCount;
   }
--- a/src/main/java/fordridge/json/EndpointWatcher.java
+++ b/src/main/java/fordridge/json/EndpointWatcher.java
@@ -24,13 +24,18 @@
 import java.util.function.Consumer;
 
 /**
- * Watches the machine list: follows the numbered events of a server (the journal, on the wire) over
- * any number of connections. When a connection breaks, falls silent or brings what can't be read,
- * it asks again from the last event that was taken; events that come twice are skipped. All methods
- * are to be called on the event loop.
+ * Watches the machine list: follows the numbered events of a server over any number of connections.
+ * If a connection breaks, is silent for too long or delivers an event that can't be read, the
+ * watcher reconnects and requests the events after the last one that it applied; repeated events
+ * are skipped. All methods have to be called on the event loop.
+ *
+ * <p>The configuration and the protocol call this stream of events the journal.
  */
 public final class EndpointWatcher {
-  /** The server sends its position every second; silent for this long it is taken to hang. */
+  /**
+   * The server sends its position every second; a server that is silent for this long is assumed to
+   * hang.
+   */
   private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(1700);
 
   private static final Duration SILENCE_CHECK_INTERVAL = Duration.ofMillis(200);
@@ -40,14 +45,14 @@
   private static final int READ_BYTES = 1 << 15;
 
   /**
-   * All that has come is read in each turn of the loop: it must be known before anything goes out
-   * to a machine.
+   * All events that have arrived are read in each turn of the event loop: they have to be known
+   * before anything is sent to a machine.
    */
   private static final int MAX_READS_PER_TURN = 64;
 
   private static final long NO_POSITION = -1;
 
-  /** Receives the events, in their order and each once. */
+  /** Receives the events, in order and each once. */
   public interface Listener {
     /** The machine list has changed. */
     void machineListChanged(MachineListEvent event);
@@ -57,7 +62,10 @@
     private long lastReceivedNanos = System.nanoTime();
     private Channel channel;
 
-    /** What follows a line that could not be taken is asked for again with it. */
+    /**
+     * Whether a line could not be applied; what follows it is discarded and requested again
+     * together with that line.
+     */
     private boolean isInputRejected;
 
     @Override
@@ -105,8 +113,7 @@
           && System.nanoTime() - lastReceivedNanos > SILENCE_TIMEOUT.toNanos();
     }
 
-    @SuppressWarnings(
-        "FutureReturnValueIgnored") // The end of the close is seen in channelInactive.
+    @SuppressWarnings("FutureReturnValueIgnored") // channelInactive reports the close.
     void close() {
       channel.close();
     }
@@ -118,26 +125,32 @@
   private final Consumer<String> log;
   private InetSocketAddress address;
 
-  /** The number of the last event that was taken. */
+  /** The position of the last event that was applied. */
   private long position;
 
-  /** The position behind which events were missing last. */
+  /** The position after which events were missing most recently. */
   private long lastGapPosition = NO_POSITION;
 
-  /** The connection in use or being opened; null while waiting to reconnect. */
+  /** The connection that is in use or being opened; null while waiting to reconnect. */
   private ConnectionHandler current;
 
   private boolean isClosed;
 
-  /** The last attempt to connect has failed. */
+  /** Whether the last attempt to connect failed. */
   private boolean isUnreachable;
 
   private Runnable onFirstContact = () -> {};
 
-  /** A line is being taken: nothing may be read from within, or events would be taken twice. */
+  /**
+   * Whether a line is being handled: no nested read may start meanwhile, or events would be applied
+   * twice.
+   */
   private boolean isHandlingLine;
 
-  /** Creates a watcher that has the events up to {@code position} and follows no server yet. */
+  /**
+   * Creates a watcher that has the events up to {@code position} and is not connected to a server
+   * yet.
+   */
   public EndpointWatcher(
       EventLoopGroup loop,
       EventLoopTimers timers,
@@ -152,12 +165,14 @@
     timers.runEvery(SILENCE_CHECK_INTERVAL, this::closeIfSilent);
   }
 
-  /** The number of the last event that was taken. */
+  /** The position of the last event that was applied. */
   public long position() {
     return position;
   }
 
-  /** Follows the server at this address from the current position; no change if it does already. */
+  /**
+   * Follows the server at this address from the current position; no effect if it does so already.
+   */
   public void watch(InetSocketAddress newAddress) {
     if (newAddress.equals(address) && !isClosed) {
       return;
@@ -172,8 +187,9 @@
   }
 
   /**
-   * Runs the task once the server has told something, or the first attempt to reach it has failed:
-   * what happened between the making of the configuration and the watch is then known.
+   * Runs the task once the server has sent a line, or the first attempt to connect has failed: the
+   * list then includes what changed between the making of the configuration and the start of the
+   * watch, as far as that can be known.
    */
   public void whenFirstHeard(Runnable task) {
     onFirstContact = task;
@@ -186,8 +202,9 @@
   }
 
   /**
-   * Reads what has come by now, not only when the loop gets to this connection; does nothing if
-   * none is open, or from within {@link Listener#machineListChanged}.
+   * Reads the events that have arrived, without waiting for the event loop to get to this
+   * connection; does nothing if no connection is open, or if called from within {@link
+   * Listener#machineListChanged}.
    */
   public void readNow() {
     if (!isHandlingLine
@@ -198,7 +215,7 @@
     }
   }
 
-  /** Ends the watch. */
+  /** Stops the watch. */
   public void close() {
     isClosed = true;
     if (current != null) {
@@ -211,7 +228,7 @@
       eventReceived(JsonFields.parse(line));
     } else if (!line.isEmpty() && Long.parseLong(line) > position) {
       throw new MalformedInputException(
-          "the server is at " + line + ", and sent events only up to " + position);
+          "the server is at position " + line + ", but sent events only up to " + position);
     }
   }
 
@@ -223,12 +240,12 @@
     Map<String, Object> hosts = JsonFields.object(event.get("hosts"), "event.hosts");
     boolean hasGap =
         eventPosition > position + 1 && !JsonFields.flag(hosts, "complete", "event.hosts");
-    // Missing events are asked for once: one of them may be a drain. A complete list needs none
-    // before it, and a server that has no more than that is believed.
+    // Missing events are requested again only once, as one of them may be a drain. A complete list
+    // does not depend on earlier events, and a server that repeats the same gap has no more events.
     if (hasGap && lastGapPosition != position) {
       lastGapPosition = position;
       throw new MalformedInputException(
-          "events are missing between " + position + " and " + eventPosition);
+          "events are missing between positions " + position + " and " + eventPosition);
     }
     listener.machineListChanged(MachineListEvent.read(hosts));
     position = eventPosition;
@@ -269,7 +286,7 @@
         });
   }
 
-  /** The first of a row is logged: it is tried again ten times a second. */
+  /** Logs only the first of consecutive failures, as connecting is retried ten times a second. */
   private void logConnectFailure(Throwable cause) {
     if (!isUnreachable) {
       isUnreachable = true;
--- a/src/main/java/fordridge/json/JsonFields.java
+++ b/src/main/java/fordridge/json/JsonFields.java
@@ -14,19 +14,23 @@
 
 /**
  * Parses one JSON object into maps, lists, strings, numbers and booleans, and reads typed fields
- * from it. Every complaint names the path of the field and the offending value.
+ * from it. Error messages name the path of the field and the offending value.
  */
 public final class JsonFields {
   /**
-   * Input that its protocol does not allow; the message says where, what it is and what it isn't.
+   * Input that violates its protocol or format; the message names the field, the expected type and
+   * the value found.
    */
   public static final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The longest piece of an offending value that is quoted. */
+    /** The maximum length to which an offending value is quoted. */
     private static final int MAX_QUOTED_CHARS = 64;
 
-    /** Without a stack trace: it is the sender's fault, and may come in floods. */
+    /**
+     * Creates the exception without a stack trace: it is the sender's fault, and many may come at
+     * once.
+     */
     public MalformedInputException(String message) {
       super(message, null, false, false);
     }
@@ -52,7 +56,10 @@
   private static final int MAX_UNTRUSTED_NESTING = 32;
   private static final int MAX_UNTRUSTED_NUMBER_CHARS = 64;
 
-  /** For untrusted input: no duplicate names, no caching of names, bounded nesting. */
+  /**
+   * For untrusted input: rejects duplicate names, caches no names, bounds the nesting depth and the
+   * length of numbers.
+   */
   private static final JsonFactory STRICT_FACTORY =
       JsonFactory.builder()
           .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
@@ -67,12 +74,12 @@
 
   private JsonFields() {}
 
-  /** Parses a text from a trusted source that holds one JSON object and nothing else. */
+  /** Parses a text from a trusted source that consists of one JSON object. */
   public static Map<String, Object> parse(String text) throws IOException {
     return parse(FACTORY, text);
   }
 
-  /** As {@link #parse}, for untrusted input. */
+  /** Same as {@link #parse}, for untrusted input. */
   public static Map<String, Object> parseStrict(String text) throws IOException {
     return parse(STRICT_FACTORY, text);
   }
@@ -80,16 +87,16 @@
   private static Map<String, Object> parse(JsonFactory factory, String text) throws IOException {
     try (JsonParser in = factory.createParser(text)) {
       if (in.nextToken() != JsonToken.START_OBJECT) {
-        throw new MalformedInputException("the line is not a JSON object");
+        throw new MalformedInputException("the input is not a JSON object");
       }
       Map<String, Object> top = object(in);
       if (in.nextToken() != null) {
-        throw new MalformedInputException("more follows the JSON object");
+        throw new MalformedInputException("unexpected input after the JSON object");
       }
       return top;
     } catch (JsonProcessingException e) {
       throw new MalformedInputException(
-          "the line is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
+          "the input is not valid JSON: " + e.getOriginalMessage().replace('\n', ' '));
     }
   }
 
@@ -124,7 +131,7 @@
     return list;
   }
 
-  /** A long, or a double if it is too big for that. */
+  /** Returns a long, or a double if the number does not fit into a long. */
   private static Object wholeNumber(JsonParser in) throws IOException {
     if (in.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
       return in.getDoubleValue();
@@ -140,7 +147,7 @@
     return value;
   }
 
-  /** A required whole number. */
+  /** Returns a required whole number. */
   public static long whole(Map<String, Object> fields, String name, String path) {
     Object value = require(fields, name, path);
     if (value instanceof Long number) {
@@ -149,12 +156,13 @@
     throw MalformedInputException.unexpected(path, name, "a whole number", value);
   }
 
-  /** A whole number, or {@code absent}. */
-  public static long whole(Map<String, Object> fields, String name, String path, long defaultValue) {
+  /** Returns a whole number, or {@code defaultValue} if the field is absent. */
+  public static long whole(
+      Map<String, Object> fields, String name, String path, long defaultValue) {
     return fields.get(name) == null ? defaultValue : whole(fields, name, path);
   }
 
-  /** A required number. */
+  /** Returns a required number. */
   public static double number(Map<String, Object> fields, String name, String path) {
     Object value = require(fields, name, path);
     if (value instanceof Number number) {
@@ -163,12 +171,13 @@
     throw MalformedInputException.unexpected(path, name, "a number", value);
   }
 
-  /** A number, or {@code absent}. */
-  public static double number(Map<String, Object> fields, String name, String path, double defaultValue) {
+  /** Returns a number, or {@code defaultValue} if the field is absent. */
+  public static double number(
+      Map<String, Object> fields, String name, String path, double defaultValue) {
     return fields.get(name) == null ? defaultValue : number(fields, name, path);
   }
 
-  /** A required string. */
+  /** Returns a required string. */
   public static String text(Map<String, Object> fields, String name, String path) {
     Object value = require(fields, name, path);
     if (value instanceof String text) {
@@ -177,12 +186,13 @@
     throw MalformedInputException.unexpected(path, name, "a string", value);
   }
 
-  /** A string, or {@code absent}. */
-  public static String text(Map<String, Object> fields, String name, String path, String defaultValue) {
+  /** Returns a string, or {@code defaultValue} if the field is absent. */
+  public static String text(
+      Map<String, Object> fields, String name, String path, String defaultValue) {
     return fields.get(name) == null ? defaultValue : text(fields, name, path);
   }
 
-  /** True or false; false if absent. */
+  /** Returns a boolean; false if the field is absent. */
   public static boolean flag(Map<String, Object> fields, String name, String path) {
     Object value = fields.get(name);
     if (value == null) {
@@ -194,7 +204,7 @@
     throw MalformedInputException.unexpected(path, name, "true or false", value);
   }
 
-  /** The value as an object; the keys of parsed JSON are strings. */
+  /** Returns the value as an object; the keys of parsed JSON are strings. */
   @SuppressWarnings("unchecked")
   public static Map<String, Object> object(Object value, String path) {
     if (value instanceof Map) {
@@ -204,7 +214,7 @@
         path + " is not an object: " + MalformedInputException.quote(value));
   }
 
-  /** A required array. */
+  /** Returns a required array. */
   @SuppressWarnings("unchecked")
   public static List<Object> list(Map<String, Object> fields, String name, String path) {
     Object value = require(fields, name, path);
--- a/src/main/java/fordridge/json/LineCodec.java
+++ b/src/main/java/fordridge/json/LineCodec.java
@@ -20,14 +20,14 @@
 
 /**
  * Decodes and encodes the lines of one connection: bounded length, strict UTF-8 and JSON, ids of 16
- * hex digits. After the first line that is malformed nothing more is decoded. Confined to the
- * connection's event loop.
+ * hex digits. Nothing is decoded after the first malformed line. Confined to the connection's event
+ * loop.
  */
 abstract class LineCodec extends SimpleChannelInboundHandler<ByteBuf> {
-  /** The longest line in bytes, its line feed not counted. */
+  /** The maximum length of a line in bytes, without its line feed. */
   static final int MAX_LINE_BYTES = 16 * 1024;
 
-  /** In place of a code where a message has none. */
+  /** The code of a message that has none. */
   static final int NO_CODE = -1;
 
   private static final int MAX_CODE = 127;
@@ -41,20 +41,25 @@
 
   private boolean isInputRejected;
 
-  /** Adds the splitting into lines, and this codec, to a connection's handlers. */
+  /**
+   * Adds a decoder that splits the input into lines, and this codec, to a connection's pipeline.
+   */
   void addTo(ChannelPipeline pipeline) {
     pipeline.addLast(new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true));
     pipeline.addLast(this);
   }
 
-  /** One message; the code is {@link #NO_CODE} and the description null where the line has none. */
+  /**
+   * A message was received; the code is {@link #NO_CODE} and the description null if the line has
+   * none.
+   */
   abstract void messageReceived(
       String type, String id, Map<String, Object> fields, int code, String description);
 
-  /** The peer sent what can't be decoded; called once, and nothing is decoded after it. */
+  /** The peer sent input that can't be decoded; called once, and nothing is decoded after it. */
   abstract void malformedInput(String reason);
 
-  /** A whole line came, whatever it says. */
+  /** A complete line was received, whatever its content; called before it is decoded. */
   void lineReceived() {}
 
   @Override
@@ -87,7 +92,7 @@
     try {
       return StandardCharsets.UTF_8.newDecoder().decode(line.nioBuffer()).toString();
     } catch (CharacterCodingException e) {
-      throw new MalformedInputException("the line is not UTF-8");
+      throw new MalformedInputException("the line is not valid UTF-8");
     }
   }
 
@@ -116,12 +121,12 @@
   private static String description(Map<String, Object> message) {
     String description = JsonFields.text(message, "d", "line", null);
     if (description != null && !StandardCharsets.UTF_8.newEncoder().canEncode(description)) {
-      throw new MalformedInputException("line: field 'd' has half a surrogate pair");
+      throw new MalformedInputException("line: field 'd' contains an unpaired surrogate");
     }
     return description;
   }
 
-  /** Takes no more input from this connection. */
+  /** Rejects the input: nothing more is decoded on this connection. */
   final void rejectInput(String reason) {
     if (!isInputRejected) {
       if (TRACE_ENABLED) {
@@ -134,11 +139,14 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    // The decoder reports a line that is too long here, and the channel a reset.
+    // Both a line that is too long, reported by the decoder, and a connection reset arrive here.
     rejectInput(String.valueOf(cause.getMessage()));
   }
 
-  /** Encodes one line; fields are pairs of name and value, those with a null value are left out. */
+  /**
+   * Encodes one line; {@code fields} are pairs of name and value, and a pair with a null value is
+   * left out.
+   */
   static ByteBuf encode(
       Channel channel, String type, String id, int code, String description, String... fields) {
     ByteBuf line = channel.alloc().buffer(INITIAL_LINE_BYTES);
@@ -172,7 +180,7 @@
     return line;
   }
 
-  /** Writes an event of the connection to standard error if lines are traced. */
+  /** Writes an event of the connection to standard error if tracing is enabled. */
   static void trace(Channel channel, String event) {
     if (TRACE_ENABLED) {
       System.err.println(
--- a/src/main/java/fordridge/json/MachineClient.java
+++ b/src/main/java/fordridge/json/MachineClient.java
@@ -22,29 +22,32 @@
 import java.util.function.Function;
 
 /**
- * The JSON lines client of one machine: opens and closes connections to it as the {@link
- * fordridge.machine.MachineConnectionPool} decides, and writes its messages. Confined to its event
- * loop.
+ * The client of one machine on the JSON lines protocol: opens and closes connections to the machine
+ * as the {@link fordridge.machine.MachineConnectionPool} decides, and writes messages to it.
+ * Confined to its event loop.
  */
 public final class MachineClient implements MachineTransport {
-  /** Receives what the machine sends; on the event loop, in the order of the sockets. */
+  /**
+   * Receives the events of a machine's connections; called on the event loop, in the order in which
+   * the sockets were read.
+   */
   public interface Listener {
-    /** A whole line came, whatever it says. */
+    /** A complete line was received, whatever its content. */
     void messageReceived();
 
-    /** The connection came up. */
+    /** The connection was established. */
     void connectionEstablished(MachineConnection connection);
 
-    /** What was written to the connection has gone out, after some of it had to wait. */
+    /** All written output was sent, after some of it had to wait. */
     void connectionWritable(MachineConnection connection);
 
-    /** The connection did not come up. */
+    /** The connection could not be established. */
     void connectionFailed(MachineConnection connection, ConnectFailure failure);
 
-    /** The connection broke, was closed by the machine, or received something malformed. */
+    /** The connection broke, was closed by the machine, or received malformed input. */
     void connectionLost(MachineConnection connection, String reason);
 
-    /** The scheduler closes the connection. */
+    /** The scheduler is closing the connection. */
     void connectionClosed(MachineConnection connection, MachineCloseReason reason);
 
     /** The machine accepted a VM. */
@@ -53,16 +56,16 @@
     /** The machine ended a placement request or a running VM. */
     void vmTerminated(MachineConnection connection, VmTermination termination);
 
-    /** The machine heard that a VM is to be terminated. */
+    /** The machine acknowledged the scheduler's request to terminate a VM. */
     void terminationAcknowledged(MachineConnection connection, String vmId);
 
     /** The machine answered a health check. */
     void probeAnswered(MachineConnection connection, boolean healthy, boolean withLoadReport);
 
-    /** The machine reported on one VM; the value is NaN where there is none that is a number. */
+    /** The machine reported on one VM; the value is NaN if it is absent or not a number. */
     void vmReported(MachineConnection connection, String vmId, VmReportKind kind, double value);
 
-    /** The machine reported its load, before any other event of the same message. */
+    /** The machine reported its load; called before any other event of the same message. */
     void loadReported(LoadReport report, boolean answersProbe);
   }
 
@@ -82,8 +85,9 @@
   /**
    * Creates a client without connections and without an address.
    *
-   * @param quota shared by the clients of all machines
-   * @param payloads what is forwarded of a VM's request, asked for when the request is written
+   * @param quota the quota shared by the clients of all machines
+   * @param payloads returns the part of a VM's request that is forwarded; called when the request
+   *     is written
    */
   public MachineClient(
       EventLoopGroup eventLoop,
@@ -98,18 +102,19 @@
     this.listener = listener;
   }
 
-  /** Bounds the time in which the next connections come up. */
+  /** Sets the timeout for connections that are opened from now on. */
   public void setConnectTimeout(Duration newTimeout) {
     connectTimeout = newTimeout;
   }
 
-  /** Sets the address to which the next connections are opened. */
+  /** Sets the address for connections that are opened from now on. */
   public void setAddress(InetSocketAddress newAddress) {
     address = newAddress;
   }
 
   /**
-   * The address to which connections are opened; null if it has none, or another machine has it.
+   * The address that connections are opened to; null if it is not known, or if another machine has
+   * it.
    */
   public InetSocketAddress address() {
     return address;
@@ -158,7 +163,7 @@
     return handler(connection).failedLocally();
   }
 
-  /** Tells the machine that a termination notice was heard. */
+  /** Acknowledges a termination notice to the machine. */
   public void acknowledge(MachineConnection connection, String vmId) {
     handler(connection).write("ack", vmId, LineCodec.NO_CODE, null);
   }
@@ -216,7 +221,7 @@
   }
 
   private Bootstrap bootstrap(MachineConnectionHandler handler) {
-    // The pool applies the connect timeout itself, Netty's own is a backstop.
+    // The pool applies the connect timeout itself; Netty's own timeout is a fallback.
     int backstopMillis = (int) (2 * connectTimeout.toMillis());
     return new Bootstrap()
         .group(eventLoop)
@@ -239,7 +244,7 @@
   private void connectFailed(MachineConnectionHandler handler, Throwable cause) {
     ConnectFailure failure = ConnectFailures.classify(cause);
     if (failure == ConnectFailure.LOCAL && handler.isConnecting()) {
-      // Tried again until the pool's connect timeout: what waits for the connection goes on
+      // Retried until the pool's connect timeout; attempts that wait for the connection keep
       // waiting.
       handler.markFailedLocally();
       eventLoop
--- a/src/main/java/fordridge/json/MachineConnectionHandler.java
+++ b/src/main/java/fordridge/json/MachineConnectionHandler.java
@@ -17,8 +17,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to a machine on the wire: decodes what the machine sends into events, and writes
- * messages. Confined to the connection's event loop.
+ * One connection to a machine: decodes the machine's messages into events, and writes messages.
+ * Confined to the connection's event loop.
+ *
+ * <p>The table has the next state for each state and event:
  *
  * <pre>
  * state       connected    failed    lost or malformed  closed by the scheduler
@@ -33,11 +35,11 @@
     CONNECTING,
     ESTABLISHED,
     /**
-     * Half-closed by the scheduler: nothing is concluded from it as a connection, and nothing is
-     * written, but it is read to its end.
+     * Half-closed by the scheduler: its messages are still reported, but nothing is written, and
+     * its close is not reported.
      */
     DRAINING,
-    /** Nothing more is concluded from it. */
+    /** No further event is reported. */
     CLOSED
   }
 
@@ -78,7 +80,7 @@
     this.listener = listener;
   }
 
-  /** Sets the channel, as soon as there is one and before anything comes of it. */
+  /** Sets the channel; called as soon as it exists, before any of its events. */
   void setChannel(Channel newChannel) {
     channel = newChannel;
   }
@@ -87,7 +89,7 @@
     return state == State.ESTABLISHED && channel.isActive();
   }
 
-  /** Whether nothing that was written waits to go out. */
+  /** Whether the connection is up and all written output has been sent. */
   boolean isWritable() {
     ChannelOutboundBuffer pending = channel.unsafe().outboundBuffer();
     return isConnected() && pending != null && pending.totalPendingWriteBytes() == 0;
@@ -97,7 +99,7 @@
     return state == State.CONNECTING;
   }
 
-  /** The last attempt to connect failed for a reason on the scheduler's own host. */
+  /** Records that the last attempt to connect failed for a reason on the scheduler's own host. */
   void markFailedLocally() {
     failedLocally = true;
   }
@@ -129,7 +131,7 @@
     }
   }
 
-  /** The connection did not come up. */
+  /** The connection could not be established. */
   void connectFailed(ConnectFailure failure) {
     if (state == State.CONNECTING || state == State.ESTABLISHED) {
       state = State.CLOSED;
@@ -150,16 +152,18 @@
     }
   }
 
-  /** Closes the connection, for the scheduler; a connection that is up is read to its end. */
+  /**
+   * Closes the connection on behalf of the scheduler; an established connection is read to its end.
+   */
   void close() {
     if (!channel.isActive()) {
       state = State.CLOSED;
       closeChannel();
       return;
     }
-    // What the machine writes at this moment would be lost with the connection, and a termination
-    // is notified once: so only this side is closed, and the rest is read until the machine closes
-    // its own.
+    // The machine may be writing at this moment, and sends each termination notice only once; it
+    // would be lost with the connection. So only the scheduler's side is closed, and input is read
+    // until the machine closes its side.
     state = State.DRAINING;
     quota.connectionClosing();
     trace(channel, "closing");
@@ -174,7 +178,7 @@
         .schedule(this::closeChannel, DRAIN_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // The end of the close is seen in the close future.
+  @SuppressWarnings("FutureReturnValueIgnored") // The close future reports the close.
   private void closeChannel() {
     channel.close();
   }
@@ -230,7 +234,7 @@
 
   private void vmAccepted(String vmId, String description) {
     if (description == null) {
-      rejectInput("line: an answer without field 'd'");
+      rejectInput("line: field 'd' is missing in an acceptance");
     } else {
       listener.vmAccepted(connection, vmId, description);
     }
@@ -250,7 +254,7 @@
     listener.vmReported(connection, vmId, kind, parseNumber(fields.get("value")));
   }
 
-  /** Reads pairs of name and value, as in {@code x0:12.5;x1:64;utilization:0.3}. */
+  /** Parses pairs of name and value, as in {@code x0:12.5;x1:64;utilization:0.3}. */
   private static LoadReport parseLoadReport(String load) {
     Map<String, Double> values = new HashMap<>();
     for (String pair : load.split(";", -1)) {
@@ -265,7 +269,7 @@
         values.getOrDefault("utilization", values.getOrDefault("util", Double.NaN)));
   }
 
-  /** The value as a number, NaN where it is none. */
+  /** Returns the value as a number, or NaN if it is absent or not a number. */
   private static double parseNumber(Object value) {
     if (value instanceof Number number) {
       return number.doubleValue();
--- a/src/main/java/fordridge/json/MachineListEvent.java
+++ b/src/main/java/fordridge/json/MachineListEvent.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * One event of the machine list: the whole list, or the machines that changed.
+ * One event of the machine list: a complete list, or the machines that changed.
  *
- * @param isComplete whether machines that are not among these are gone
+ * @param isComplete whether machines that are not in this event have left the cluster
  */
 public record MachineListEvent(boolean isComplete, List<Entry> machines) {
   private static final String MACHINES_PATH = "hosts.members";
@@ -18,10 +18,10 @@
   /**
    * A machine in the list.
    *
-   * @param address null where the event has none: an earlier one still holds
-   * @param freeCores free cores as the list has them, 0 where it has none
-   * @param freeMemory free memory as the list has it, 0 where it has none
-   * @param startedAtEpochMillis when the machine's process started, 0 if that is not known
+   * @param address null if the event has none; an address from an earlier event then still applies
+   * @param freeCores free cores according to the list, 0 if not given
+   * @param freeMemory free memory according to the list, 0 if not given
+   * @param startedAtEpochMillis when the machine's process started, 0 if not known
    */
   public record Entry(
       String id,
@@ -34,7 +34,7 @@
       Machine.Lifecycle lifecycle,
       long startedAtEpochMillis) {}
 
-  /** Reads an event from its parsed JSON. */
+  /** Reads an event from parsed JSON. */
   public static MachineListEvent read(Map<String, Object> hosts) {
     boolean isComplete = JsonFields.flag(hosts, "complete", "hosts");
     List<Object> members = JsonFields.list(hosts, "members", "hosts");
--- a/src/main/java/fordridge/json/ReadProgress.java
+++ b/src/main/java/fordridge/json/ReadProgress.java
@@ -8,25 +8,29 @@
 import java.util.function.Consumer;
 
 /**
- * Tells whether a connection was read to its end: first of a channel's handlers. A read cycle makes
- * some reads of a few KiB and ends early only where the socket had no more, however short the reads
- * were. Confined to the connection's event loop.
+ * Tracks whether a connection was read to the end of its input; has to be the first of a channel's
+ * handlers. A read cycle makes at most {@link #MAX_READS_PER_CYCLE} reads and ends earlier only if
+ * the socket had no more input, however little each read returned. Confined to the connection's
+ * event loop.
  */
 final class ReadProgress extends ChannelInboundHandlerAdapter {
   private static final int READ_BYTES = 4096;
 
-  /** So much of one connection is read before the others have their turn. */
+  /** The reads from one connection before other connections get their turn. */
   private static final int MAX_READS_PER_CYCLE = 4;
 
   private final Consumer<Boolean> onCycleCompleted;
   private int readsInCycle;
 
-  /** The consumer gets, after each cycle, whether the socket was read to its end. */
+  /**
+   * Creates a handler; {@code onCycleCompleted} gets, after each cycle, whether the socket was read
+   * to its end.
+   */
   ReadProgress(Consumer<Boolean> onCycleCompleted) {
     this.onCycleCompleted = onCycleCompleted;
   }
 
-  /** The buffers for channels with this handler. */
+  /** Returns the allocator of receive buffers for channels with this handler. */
   static RecvByteBufAllocator newAllocator() {
     FixedRecvByteBufAllocator allocator = new FixedRecvByteBufAllocator(READ_BYTES);
     allocator.maxMessagesPerRead(MAX_READS_PER_CYCLE);
--- a/src/main/java/fordridge/json/SocketAddresses.java
+++ b/src/main/java/fordridge/json/SocketAddresses.java
@@ -3,11 +3,11 @@
 import fordridge.json.JsonFields.MalformedInputException;
 import java.net.InetSocketAddress;
 
-/** Reads socket addresses that need no name resolution: it would block the event loop. */
+/** Parses socket addresses that need no name resolution, which would block the event loop. */
 public final class SocketAddresses {
   private SocketAddresses() {}
 
-  /** An address as {@code 127.0.0.1:5080} or {@code [::1]:5080}. */
+  /** Parses an address such as {@code 127.0.0.1:5080} or {@code [::1]:5080}. */
   public static InetSocketAddress parse(String hostAndPort) {
     int colon = hostAndPort.lastIndexOf(':');
     String host = hostAndPort.substring(0, Math.max(0, colon));
@@ -22,6 +22,6 @@
   }
 
   private static MalformedInputException malformed(String hostAndPort) {
-    return new MalformedInputException("not a numeric address and port: " + hostAndPort);
+    return new MalformedInputException("not a numeric IP address and port: " + hostAndPort);
   }
 }
--- a/src/main/java/fordridge/json/TerminationCause.java
+++ b/src/main/java/fordridge/json/TerminationCause.java
@@ -4,21 +4,21 @@
 import java.util.Optional;
 
 /**
- * The cause in a termination line ({@code down}) on the JSON lines protocol, to clients and from
- * machines. A machine's code that is not listed here counts as {@link #RESET}.
+ * The cause in a termination line ({@code down}) of the JSON lines protocol, sent to clients and
+ * received from machines. Any other code from a machine counts as {@link #RESET}.
  */
 public enum TerminationCause {
-  /** The VM ended normally; sent by the scheduler, it withdraws a placement request. */
+  /** The VM finished; in a line from the scheduler it withdraws a placement request. */
   DONE(16, Outcome.RESET, Optional.of(Outcome.DONE)),
-  /** Migrated, or terminated by its client, who gets no termination notice. */
+  /** The VM was migrated, or was terminated by its client, which gets no termination notice. */
   CANCELLED(31, Outcome.RESET, Optional.of(Outcome.CANCELLED)),
-  /** Rejected for lack of capacity: it never ran. */
+  /** The request was rejected for lack of capacity: the VM never ran. */
   REJECTED(34, Outcome.FULL, Optional.empty()),
-  /** The attempt broke on its way, or the running VM was lost. */
+  /** The attempt was lost in transit, or the running VM was lost. */
   RESET(41, Outcome.RESET, Optional.of(Outcome.RESET)),
-  /** Failed: it may have run. */
+  /** The request failed: the VM may have run. */
   FAILED(47, Outcome.ERROR, Optional.empty()),
-  /** The request was never sent. */
+  /** The request was never sent to a machine. */
   NOT_SENT(102, Outcome.NOT_SENT, Optional.empty());
 
   private final int code;
@@ -31,7 +31,10 @@
     this.outcomeIfRunning = outcomeIfRunning;
   }
 
-  /** The cause for a code received from a machine; {@link #RESET} for any other code, or none. */
+  /**
+   * Returns the cause for a code received from a machine; {@link #RESET} for any other code, or
+   * none.
+   */
   public static TerminationCause fromCode(int code) {
     for (TerminationCause cause : values()) {
       if (cause.code == code) {
@@ -41,7 +44,7 @@
     return RESET;
   }
 
-  /** The code on the wire. */
+  /** The code in the protocol. */
   public int code() {
     return code;
   }
@@ -52,8 +55,8 @@
   }
 
   /**
-   * The outcome of an attempt whose VM was running; empty for a late notice on a placement request
-   * that was given up.
+   * The outcome of an attempt whose VM was running; empty if the cause is that of a placement
+   * request only, so that the notice is a late one about an attempt that was given up.
    */
   public Optional<Outcome> outcomeIfRunning() {
     return outcomeIfRunning;
--- a/src/main/java/fordridge/session/ClientSessions.java
+++ b/src/main/java/fordridge/session/ClientSessions.java
@@ -25,7 +25,7 @@
    * @param maxPendingRequests requests without a final response, over all clients
    * @param maxPendingRequestsPerClient requests without a final response of one client
    * @param maxUnwrittenResponses responses waiting to be written to one client; at this number no
-   * more is read from the client
+   *     more is read from the client
    * @param maxClosedRequests closed requests whose responses are retained, over all clients
    * @param retention how long closed requests and the sessions of disconnected clients are retained
    */
@@ -107,9 +107,7 @@
   private int pendingRequests;
   private long tokensIssued;
 
-  /**
-   * Creates an empty registry; {@code seed} makes the resume tokens of this incarnation unique.
-   */
+  /** Creates an empty registry; {@code seed} makes the resume tokens of this incarnation unique. */
   public ClientSessions(Limits limits, long seed) {
     this.limits = limits;
     this.seed = seed;
@@ -153,9 +151,7 @@
     session.streamClosed(now);
   }
 
-  /**
-   * Discards the responses up to {@code sequence}; returns false if that number was never sent.
-   */
+  /** Discards the responses up to {@code sequence}; returns false if that number was never sent. */
   public boolean acknowledge(ClientSession session, long sequence) {
     return session.acknowledge(sequence);
   }
@@ -204,9 +200,7 @@
     return request != null && request.state == RequestState.PENDING;
   }
 
-  /**
-   * The client withdrew its request for the VM: a pending request is closed without a response.
-   */
+  /** The client withdrew its request for the VM: a pending request is closed without a response. */
   public void requestWithdrawn(ClientSession session, String vm, Duration now) {
     Request request = find(session.client(), vm);
     if (request != null && request.state == RequestState.PENDING) {
@@ -266,7 +260,9 @@
     for (ClientSession session : List.copyOf(sessions.values())) {
       if (session.isExpired(now, limits.retention)) {
         sessions.remove(session.client());
-        requests(session.client()).values().removeIf(request -> request.state == RequestState.CLOSED);
+        requests(session.client())
+            .values()
+            .removeIf(request -> request.state == RequestState.CLOSED);
         detachRequests(session.client());
         expired.add(session.client());
       }
--- a/src/main/java/fordridge/session/NoticeDeliveries.java
+++ b/src/main/java/fordridge/session/NoticeDeliveries.java
@@ -85,7 +85,7 @@
    * Creates a registry without deliveries.
    *
    * @param maxDeliveries the maximum number of notices that are kept; beyond it the oldest is
-   * displaced and counted
+   *     displaced and counted
    * @param displacedNotices receives each notice that is displaced
    */
   NoticeDeliveries(int maxDeliveries, Consumer<TerminationNotice> displacedNotices) {
--- a/src/main/java/fordridge/session/PendingResponses.java
+++ b/src/main/java/fordridge/session/PendingResponses.java
@@ -82,7 +82,7 @@
    *
    * @param maxPending the maximum number of pending requests
    * @param maxNotices the maximum number of unacknowledged notices; beyond it the oldest is
-   * displaced and counted
+   *     displaced and counted
    * @param noticeLifetime how long an undelivered termination notice is kept
    * @param displacedNotices receives each notice that is displaced
    */
@@ -238,12 +238,12 @@
    * connection:
    *
    * <ul>
-   * <li>its pending requests are abandoned: they are returned, get no response, and their ids may
-   * be used again;
-   * <li>its running VMs stay registered, and their termination notices will go to another
-   * connection;
-   * <li>its unacknowledged notices may have been lost in transit: they are deferred, see {@link
-   * #takeDeferredNotices}.
+   *   <li>its pending requests are abandoned: they are returned, get no response, and their ids may
+   *       be used again;
+   *   <li>its running VMs stay registered, and their termination notices will go to another
+   *       connection;
+   *   <li>its unacknowledged notices may have been lost in transit: they are deferred, see {@link
+   *       #takeDeferredNotices}.
    * </ul>
    */
   public List<String> connectionClosed(C connection) {
