--- a/src/main/java/fordridge/eventloop/EventLoopTimers.java
+++ b/src/main/java/fordridge/eventloop/EventLoopTimers.java
@@ -6,22 +6,22 @@
 import java.util.function.Consumer;
 
 /**
- * Runs tasks later on one event loop. A task that fails is reported, and a periodic one goes on: a
- * bare scheduled future would keep the exception to itself and stop the timer.
+ * Runs delayed and periodic tasks on one event loop. A task's failure is reported, and a periodic
+ * task continues after it: a plain scheduled future would keep the exception and stop the timer.
  */
 public final class EventLoopTimers {
   private final EventLoop loop;
   private final Consumer<Throwable> failureHandler;
 
-  /** Creates timers for this loop; the handler gets what a task throws. */
+  /** Creates timers for this event loop; the handler gets what a task throws. */
   public EventLoopTimers(EventLoop loop, Consumer<Throwable> failureHandler) {
     this.loop = loop;
     this.failureHandler = failureHandler;
   }
 
   /**
-   * Runs the task once, behind what the loop has to read by then, even if the delay is zero; a
-   * negative delay counts as none.
+   * Runs the task once after the delay. Even if the delay is zero, the loop reads the input that is
+   * available by then before it runs the task. A negative delay counts as zero.
    */
   @SuppressWarnings("FutureReturnValueIgnored") // Failures are reported, and nothing is cancelled.
   public void runAfter(Duration delay, Runnable task) {
@@ -29,7 +29,7 @@
     loop.schedule(() -> runAndReportFailure(task), nanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Runs the task again and again, the first time after one interval. */
+  /** Runs the task periodically, the first time after one interval. */
   @SuppressWarnings("FutureReturnValueIgnored") // Failures are reported, and nothing is cancelled.
   public void runEvery(Duration interval, Runnable task) {
     long nanos = interval.toNanos();
--- a/src/main/java/fordridge/eventloop/InputGate.java
+++ b/src/main/java/fordridge/eventloop/InputGate.java
@@ -6,50 +6,59 @@
 import java.util.Deque;
 
 /**
- * Lets decisions and offers happen only while it is known what peers have sent: before each, unless
- * that was done a moment ago, all sockets are read to their end, so that handovers, closes and
- * changes of the machine list are taken in first. An effect that can't be taken back is never
- * carried out on facts that waited in a socket. Confined to the event loop.
+ * Delays decisions and offers until it is known what peers have sent. Before each of them all
+ * sockets are read to the end of their input, unless that was done a moment ago, so that handovers,
+ * closed connections and changes of the machine list are processed first: an irreversible action is
+ * never based on facts that unread input contradicts. Confined to the event loop.
  *
- * <p>It does not decide anything: what waits here is entered in the order in which it came. What
- * waits is bounded by the pending requests and the connections to machines.
+ * <p>The gate itself decides nothing: waiting inputs are entered in the order in which they came.
+ * Their number is bounded by the pending requests and the connections to machines.
  */
 public final class InputGate {
-  /** How far a pass over the sockets has read them. */
+  /** The result of a pass over the sockets. */
   public enum ReadResult {
-    /** Nothing is left that had come before the pass. */
+    /** All input that had arrived before the pass was read. */
     TO_THE_END,
-    /** Some sockets may have more: another pass is needed. */
+    /** Some sockets may have more input: another pass is needed. */
     MORE_MAY_WAIT,
-    /** Something that waits can't be read at this moment, as the system refuses. */
+    /**
+     * Something that is waiting can't be read now because the system refuses it, for instance a
+     * connection to be accepted while descriptors are short.
+     */
     REFUSED
   }
 
-  /** The sockets, and the inputs that wait for them to be read. */
+  /** The gate's access to the sockets and to the scheduler's inputs. */
   public interface Port {
-    /** Reads each socket that is ready once. */
+    /** Reads each ready socket once. */
     ReadResult readSockets();
 
-    /** The time since the start; it never goes back. */
+    /** The time since the start; it never goes back and also advances within a turn. */
     Duration clock();
 
-    /** What is entered next is to have the time of now, not that of the turn's begin. */
+    /** Gives the next inputs the current time instead of the time at the beginning of the turn. */
     void refreshTime();
 
-    /** Enters an input now; its failure is reported, not thrown. */
+    /** Runs an input now; a failure of the input is reported, not thrown. */
     void enter(InputKind kind, Runnable input);
   }
 
-  /** How old the last complete read may be, by the process's own clock. */
+  /** The maximum age of the last complete read, by the process's own clock. */
   static final Duration MAX_READ_AGE = Duration.ofMillis(20);
 
-  /** A read that takes longer goes on in the next turn: timers are due meanwhile. */
+  /**
+   * The maximum time for reading the sockets in one turn; the next turn continues, as timers may be
+   * due meanwhile.
+   */
   private static final Duration MAX_READ_TIME = Duration.ofMillis(100);
 
-  /** For how long a turn enters what waits; at least one is entered. */
+  /** The maximum time for entering waiting inputs in one turn; at least one is entered. */
   private static final Duration MAX_TURN_TIME = Duration.ofMillis(50);
 
-  /** Before sockets that could not be read are tried again: without it the loop would spin. */
+  /**
+   * Delay before reading is retried after the system refused it; without the delay the loop would
+   * spin.
+   */
   private static final Duration REFUSED_RETRY_DELAY = Duration.ofMillis(5);
 
   private record WaitingInput(InputKind kind, Runnable input) {}
@@ -59,7 +68,7 @@
   private final Runnable decide;
   private final Deque<WaitingInput> waiting = new ArrayDeque<>();
 
-  /** The start of the last pass over the sockets after which nothing was left to be read. */
+  /** The start of the last complete pass over the sockets, null before the first one. */
   private Duration readAt;
 
   private boolean isRunScheduled;
@@ -70,22 +79,25 @@
   private long refusedReads;
   private Duration longestRead = Duration.ZERO;
 
-  /** A gate before which nothing waits; {@code decide} runs once input is read that it needs. */
+  /**
+   * Creates a gate without waiting inputs; {@code decide} runs once the input that it depends on
+   * was read.
+   */
   public InputGate(EventLoopTimers timers, Port port, Runnable decide) {
     this.timers = timers;
     this.port = port;
     this.decide = decide;
   }
 
-  /** Enters the input once all that peers have sent is read, in its order. */
+  /** Enters the input after everything that peers have sent was read, in the order of the calls. */
   public void enterWhenRead(InputKind kind, Runnable input) {
     waiting.addLast(new WaitingInput(kind, input));
     scheduleRun(Duration.ZERO);
   }
 
   /**
-   * Whether a decision may be made at this instant. If not, the sockets are read soon, and what
-   * decides is called again behind that.
+   * Whether a decision may be made now. If not, the sockets are read soon, and {@code decide} is
+   * called after that.
    */
   public boolean mayDecide() {
     if (isDeciding && isFresh()) {
@@ -121,7 +133,7 @@
     try {
       retryDelay = enterWaiting() == ReadResult.REFUSED ? REFUSED_RETRY_DELAY : Duration.ZERO;
     } finally {
-      // Also where reading has failed: what waits must not wait for ever.
+      // Also scheduled after a failed read: waiting inputs must not wait forever.
       if (!waiting.isEmpty()) {
         scheduleRun(retryDelay);
       }
@@ -171,7 +183,7 @@
     longestRead = duration.compareTo(longestRead) > 0 ? duration : longestRead;
   }
 
-  /** Reads since the start, for the status line. */
+  /** The counts of reads since the start, for the status line. */
   public String describe() {
     return "complete reads "
         + completeReads
--- a/src/main/java/fordridge/eventloop/LoopTurnMonitor.java
+++ b/src/main/java/fordridge/eventloop/LoopTurnMonitor.java
@@ -5,16 +5,16 @@
 import java.util.function.Consumer;
 
 /**
- * Tells what an event loop spends its time on: one turn is a wait for the sockets, the reading of
- * those that are ready, and the tasks behind it. A turn that is busy for longer than a bound is
- * logged with its parts, so that a late response can be traced to what it waited for. Confined to
- * the event loop but for the construction.
+ * Measures what an event loop spends its time on. A turn is one iteration of the loop: a wait for
+ * sockets, the reading of those that are ready, and the tasks after that. A turn that is busy for
+ * longer than a limit is logged with its parts, so that the cause of a late response can be found.
+ * Confined to the event loop except for the constructor.
  */
 public final class LoopTurnMonitor {
-  /** A turn that is busy for longer is logged. */
+  /** A turn that is busy for longer than this is logged. */
   private static final Duration SLOW_TURN = Duration.ofMillis(150);
 
-  /** Slow turns that are logged in one reporting period; the others are only counted. */
+  /** The slow turns that are logged in one reporting period; further ones are only counted. */
   private static final int MAX_LOGGED_PER_PERIOD = 5;
 
   private final InputStatistics inputs;
@@ -29,13 +29,13 @@
   private long ioNanos;
   private int readySockets;
 
-  /** Creates a monitor; the statistics are those of the inputs that the loop runs. */
+  /** Creates a monitor; {@code inputs} are the statistics of the inputs that run on this loop. */
   public LoopTurnMonitor(InputStatistics inputs, Consumer<String> log) {
     this.inputs = inputs;
     this.log = log;
   }
 
-  /** The loop is about to wait for its sockets: the tasks of the last turn are done. */
+  /** Called when the loop is about to wait for its sockets: the tasks of the last turn are done. */
   void waitStarted(long nowNanos) {
     if (turnEndNanos != 0) {
       turns++;
@@ -43,7 +43,12 @@
     }
   }
 
-  /** The loop has read so many sockets that were ready, which took so long. */
+  /**
+   * Called when the loop has read the ready sockets.
+   *
+   * @param sockets the number of ready sockets
+   * @param nanos the time spent on reading them
+   */
   void ioCompleted(int sockets, long nanos, long nowNanos) {
     readySockets = sockets;
     ioNanos = nanos;
@@ -76,7 +81,7 @@
     inputs.startTurn();
   }
 
-  /** What happened since the last call, for the status line. */
+  /** Returns the counts since the last call, for the status line. */
   public String takeSummary() {
     String summary =
         "turns "
--- a/src/main/java/fordridge/eventloop/MonitoredIoHandler.java
+++ b/src/main/java/fordridge/eventloop/MonitoredIoHandler.java
@@ -7,13 +7,13 @@
 import io.netty.channel.IoRegistration;
 
 /**
- * Passes every call on to another I/O handler, times its turns for a monitor, and lets it wait for
- * whole milliseconds only.
+ * Delegates every call to another I/O handler, times the loop's turns for a monitor, and rounds the
+ * loop's waits up to whole milliseconds.
  *
- * <p>The selector can't wait for less than a millisecond: Netty polls it without a pause while the
- * next timer is due within half a millisecond. That uses up processor time which the loop lacks
- * later, for seconds where the time used is charged in one go. So a timer runs up to a millisecond
- * late instead.
+ * <p>The selector can't wait for less than a millisecond: Netty polls it continuously while the
+ * next timer is due within half a millisecond. That uses processor time which the loop lacks later:
+ * for seconds on a platform that charges the time used in one go. With the rounding a timer may run
+ * up to a millisecond late instead.
  */
 public final class MonitoredIoHandler implements IoHandler {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -29,7 +29,9 @@
     this.poller = poller;
   }
 
-  /** Handlers of {@code factory}, timed and polled; for a group of one event loop. */
+  /**
+   * Returns a factory that wraps the handlers of {@code factory}; for a group of one event loop.
+   */
   public static IoHandlerFactory newFactory(
       IoHandlerFactory factory, LoopTurnMonitor monitor, SocketPoller poller) {
     return executor -> {
@@ -40,7 +42,9 @@
     };
   }
 
-  /** Reads the sockets that are ready within a turn that has waited for them before. */
+  /**
+   * Reads the ready sockets from within a turn, in addition to the read at the turn's beginning.
+   */
   int readReady(IoHandlerContext nonBlocking) {
     return handler.run(nonBlocking);
   }
@@ -56,7 +60,10 @@
     return readySockets;
   }
 
-  /** The delay rounded up to whole milliseconds; none, and one without end, stay as they are. */
+  /**
+   * Returns the delay rounded up to whole milliseconds. A delay that is not positive, and the one
+   * that means no limit, stay as they are.
+   */
   static long wholeMillis(long delayNanos) {
     if (delayNanos <= 0 || delayNanos > Long.MAX_VALUE - NANOS_PER_MILLI) {
       return delayNanos;
@@ -64,7 +71,7 @@
     return (delayNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI * NANOS_PER_MILLI;
   }
 
-  /** Asks the handler for the time that it spends on ready sockets, and rounds its waits. */
+  /** Makes the handler report the time that it spends on ready sockets, and rounds its waits. */
   private final class TimedContext implements IoHandlerContext {
     private final IoHandlerContext context;
 
--- a/src/main/java/fordridge/eventloop/PolledEventLoops.java
+++ b/src/main/java/fordridge/eventloop/PolledEventLoops.java
@@ -12,14 +12,14 @@
 import java.util.function.Consumer;
 
 /**
- * A group of event loops whose sockets can be read from within their tasks, and that wait for whole
- * milliseconds, see {@link MonitoredIoHandler}. May be used from any thread.
+ * A group of event loops whose sockets can be read from within their tasks and that wait for whole
+ * milliseconds, see {@link MonitoredIoHandler}. Thread-safe.
  */
 public final class PolledEventLoops {
   private final Map<ThreadAwareExecutor, SocketPoller> pollers = new ConcurrentHashMap<>();
   private final EventLoopGroup group;
 
-  /** Starts so many loops; slow turns are logged. */
+  /** Starts this number of event loops; their slow turns are logged. */
   public PolledEventLoops(int threads, Consumer<String> log) {
     IoHandlerFactory nioHandlers = NioIoHandler.newFactory();
     group =
@@ -29,16 +29,17 @@
               SocketPoller poller = new SocketPoller();
               pollers.put(executor, poller);
               LoopTurnMonitor monitor = new LoopTurnMonitor(new InputStatistics(), log);
-              return MonitoredIoHandler.newFactory(nioHandlers, monitor, poller).newHandler(executor);
+              return MonitoredIoHandler.newFactory(nioHandlers, monitor, poller)
+                  .newHandler(executor);
             });
   }
 
-  /** All loops. */
+  /** The group of all event loops. */
   public EventLoopGroup group() {
     return group;
   }
 
-  /** The next of the loops in turn. */
+  /** Returns the next event loop in round-robin order. */
   public PolledEventLoop next() {
     EventLoop loop = group.next();
     return new PolledEventLoop(loop, pollers.get((ThreadAwareExecutor) loop));
--- a/src/main/java/fordridge/eventloop/SocketPoller.java
+++ b/src/main/java/fordridge/eventloop/SocketPoller.java
@@ -4,9 +4,9 @@
 import java.time.Duration;
 
 /**
- * Reads the sockets of an event loop that are ready at this instant, from within one of its tasks:
- * for what must not be decided before it is known what has arrived. It also knows when the sockets
- * were looked at last. Confined to the event loop.
+ * Reads an event loop's ready sockets from within one of the loop's tasks, for decisions that have
+ * to take into account everything that has arrived. Also records when the sockets were last polled.
+ * Confined to the event loop.
  */
 public final class SocketPoller {
   private static final IoHandlerContext NON_BLOCKING =
@@ -30,19 +30,22 @@
   private MonitoredIoHandler handler;
   private long previousPollNanos = System.nanoTime();
 
-  /** Called by the handler of the event loop when it is made. */
+  /** Called when the event loop's handler is created. */
   void attach(MonitoredIoHandler newHandler) {
     handler = newHandler;
   }
 
-  /** The events of a pass are handled, which had looked which sockets are ready at that time. */
+  /**
+   * Called after the events of a pass were handled; {@code polledNanos} is when the pass polled the
+   * sockets.
+   */
   void passCompleted(long polledNanos) {
     previousPollNanos = polledNanos;
   }
 
   /**
-   * Reads each socket that is ready once, and returns how many were. Not to be called from within
-   * what a socket's event has called.
+   * Reads each ready socket once, and returns the number of ready sockets. Must not be called from
+   * the handler of a socket's event.
    */
   public int readReady() {
     long startedNanos = System.nanoTime();
@@ -52,8 +55,9 @@
   }
 
   /**
-   * How long ago the sockets were looked at in the pass before this one: what is read now, from a
-   * socket that was read to its end, has come since. Includes the time for which the loop was idle.
+   * Returns how long ago the pass before this one polled the sockets: what is read now from a
+   * socket that was read to its end has arrived since then. Includes the time for which the loop
+   * was idle.
    */
   public Duration sincePreviousPoll() {
     return Duration.ofNanos(System.nanoTime() - previousPollNanos);
--- a/src/main/java/fordridge/group/VmGroup.java
+++ b/src/main/java/fordridge/group/VmGroup.java
@@ -7,58 +7,59 @@
 import java.util.Map;
 
 /**
- * Gang scheduling of the VMs of one group: all of them are accepted, or none. Free of I/O, threads
- * and clocks; not thread-safe.
+ * Gang scheduling of the VMs of a group: either all of them are accepted, or none. Does no I/O,
+ * starts no threads and reads no clock. Not thread-safe.
  *
  * <p>Members are held back until all have been requested and a plan is known. Then each is placed
- * as any other VM, but its client is not notified of its acceptance until every member is accepted.
- * The first member that cannot be accepted ends the group: what is accepted is stopped, latest
- * first, what is still being placed is cancelled, and each gets its final response at once:
- * rejected where it never ran or may run again, failed otherwise. A member that terminates before
- * all are accepted ends the group too.
+ * like any other VM, but its client is not notified of the acceptance until every member is
+ * accepted. The first member that cannot be accepted ends the group: accepted members are stopped,
+ * the latest first, members that are still being placed are cancelled, and each gets its final
+ * response at once: rejected if it never ran or may run again, failed otherwise. A member that
+ * terminates before all are accepted ends the group as well.
  */
 public final class VmGroup {
   /**
-   * A group is given up after this share of its first member's time, as the rest covers undoing.
+   * A group is abandoned after this many sixteenths of the time that its first member has left; the
+   * remaining time is for stopping accepted members.
    */
   private static final int FORMATION_SIXTEENTHS = 15;
 
-  /** What a group does with its members; each is named by its VM's id. */
+  /** The actions of a group on its members; each is named by its VM's id. */
   public interface MemberActions {
     /**
-     * All members have been requested; {@link VmGroup#planFound} or {@link VmGroup#abandon} follows
-     * when it is known whether they can be placed together.
+     * All members have been requested. Answered by {@link VmGroup#planFound} or {@link
+     * VmGroup#abandon} when it is known whether they can be placed together.
      */
     void allMembersJoined(List<String> members);
 
-    /** Place the member now. */
+    /** Places the member now. */
     void place(String member);
 
-    /** All are accepted: the client may be notified of this one. */
+    /** Notifies the member's client of the acceptance, as all members are accepted. */
     void reportAccepted(String member);
 
-    /** Stop an accepted member; its final response is sent separately. */
+    /** Stops an accepted member; its final response is sent separately. */
     void stop(String member);
 
     /**
-     * Cancel the placement of a member that is not accepted; {@link VmGroup#memberRejected} or
-     * {@link VmGroup#memberFailed} follows.
+     * Cancels the placement of a member that is not accepted; answered by {@link
+     * VmGroup#memberRejected} or {@link VmGroup#memberFailed}.
      */
     void cancel(String member);
 
-    /** The member's final response: it does not run, and a retry does no harm. */
+    /** Sends the member's final response: it is not running, and a retry does no harm. */
     void reject(String member, String reason);
 
-    /** The member's final response: it may have run. */
+    /** Sends the member's final response: it may have run. */
     void fail(String member, String reason);
   }
 
   private enum GroupState {
-    /** Members join or are being placed. */
+    /** Members are joining or being placed. */
     FORMING,
-    /** All members are accepted, and their clients were notified. */
+    /** All members are accepted, and their clients have been notified. */
     ACCEPTED,
-    /** It ended without being accepted. */
+    /** The group ended without being accepted. */
     FAILED
   }
 
@@ -85,7 +86,7 @@
   private final List<String> acceptanceOrder = new ArrayList<>();
   private GroupState state = GroupState.FORMING;
 
-  /** Why it failed; empty before that. */
+  /** Why the group failed; empty before that. */
   private String failureReason = "";
 
   /** Creates a group that waits for {@code size} members. */
@@ -96,14 +97,17 @@
   }
 
   /**
-   * How long a group may take to form and be accepted, by the time that its first member has left:
-   * the remainder covers the undoing.
+   * Returns how long a group may take until all members are accepted, given the time that its first
+   * member has left: the rest is for stopping accepted members.
    */
   public static Duration formationTimeout(Duration timeLeft) {
     return timeLeft.multipliedBy(FORMATION_SIXTEENTHS).dividedBy(16);
   }
 
-  /** A member was requested; false if the group is full or over, and the VM is no part of it. */
+  /**
+   * A member was requested. Returns false if the group is complete or has failed, or if the VM is a
+   * member already; the request is then not part of the group.
+   */
   public boolean memberJoined(String vm, boolean mayRunAgain) {
     if (state == GroupState.FAILED || isComplete() || members.containsKey(vm)) {
       return false;
@@ -115,11 +119,11 @@
     return true;
   }
 
-  /** The members can be placed together, best in this order. */
+  /** The members can be placed together, preferably in this order. */
   public void planFound(List<String> placementOrder) {
     for (String vm : placementOrder) {
       Member member = members.get(vm);
-      // A member may have ended the group while the ones before it were placed.
+      // An earlier placement in this loop may have ended the group.
       if (state != GroupState.FAILED && member.state == MemberState.JOINED) {
         member.state = MemberState.PLACING;
         actions.place(vm);
@@ -132,12 +136,13 @@
     return members.size() >= size;
   }
 
-  /** Whether it has nothing left to do. */
+  /** Whether the group needs no further action. */
   public boolean isOver() {
     return switch (state) {
       case FORMING -> false;
       case ACCEPTED -> true;
-      case FAILED -> members.values().stream().allMatch(member -> member.state == MemberState.SETTLED);
+      case FAILED ->
+          members.values().stream().allMatch(member -> member.state == MemberState.SETTLED);
     };
   }
 
@@ -171,8 +176,8 @@
   }
 
   /**
-   * An accepted member terminated; true if its client must not be notified of that, as it was never
-   * notified of the acceptance.
+   * An accepted member terminated. Returns whether its client must not be notified of that, as it
+   * was never notified of the acceptance.
    */
   public boolean memberTerminated(String vm) {
     if (state == GroupState.ACCEPTED) {
@@ -186,7 +191,7 @@
     return true;
   }
 
-  /** The client withdrew a member: the rest cannot be placed together without it. */
+  /** The client withdrew a member: the others cannot be placed as a complete group without it. */
   public void memberWithdrawn(String vm) {
     Member member = members.get(vm);
     if (state != GroupState.ACCEPTED && member != null && member.state != MemberState.SETTLED) {
@@ -195,7 +200,7 @@
     }
   }
 
-  /** Ends a group that did not form in time, or that no machines can take. */
+  /** Ends a group that did not form in time or that no set of machines can take. */
   public void abandon(String reason) {
     if (state != GroupState.ACCEPTED) {
       failGroup(reason);
@@ -239,7 +244,7 @@
       String vm = acceptanceOrder.get(i);
       Member member = members.get(vm);
       if (member.state == MemberState.ACCEPTED) {
-        // Marked before it is stopped: the stop may report its termination at once.
+        // Marked before the stop, which may report the member's termination at once.
         member.state = MemberState.SETTLED;
         actions.stop(vm);
         settle(vm, member, true, failureReason);
--- a/src/main/java/fordridge/runtime/EventLoopLag.java
+++ b/src/main/java/fordridge/runtime/EventLoopLag.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * The longest lag of an event loop over the last one to two windows: how long a request may have
- * waited to be read.
+ * The longest lag of an event loop in the last one to two windows: how long a request may have
+ * waited before it was read.
  *
- * <p>A client's deadline runs from when it sent its request, the scheduler's from when that was
- * read; under load the difference is the lag of the loop, and responses must come earlier by as
- * much. Belongs to the loop's thread; it reads no clock.
+ * <p>A client's deadline counts from when it sent its request, the scheduler's from when it read
+ * the request. Under load they differ by the lag of the event loop, and responses have to be sent
+ * earlier by that much. Reads no clock. Not thread-safe; confined to the event loop's thread.
  */
 public final class EventLoopLag {
   private final Duration window;
@@ -16,12 +16,12 @@
   private Duration longestInWindow = Duration.ZERO;
   private Duration longestInPreviousWindow = Duration.ZERO;
 
-  /** Remembers lags for at least that window. */
+  /** Creates a record in which each lag counts for at least {@code window}. */
   public EventLoopLag(Duration window) {
     this.window = window;
   }
 
-  /** The loop lagged by so much at that time. */
+  /** Records the lag of the event loop at this time. */
   public void seen(Duration lag, Duration at) {
     rotate(at);
     if (lag.compareTo(longestInWindow) > 0) {
@@ -29,16 +29,19 @@
     }
   }
 
-  /** What to take off a client's time. */
+  /** Returns the time by which a client's deadline is to be shortened. */
   public Duration allowance(Duration at) {
     rotate(at);
-    return longestInWindow.compareTo(longestInPreviousWindow) > 0 ? longestInWindow : longestInPreviousWindow;
+    return longestInWindow.compareTo(longestInPreviousWindow) > 0
+        ? longestInWindow
+        : longestInPreviousWindow;
   }
 
   private void rotate(Duration at) {
     Duration age = at.minus(windowStart);
     if (age.compareTo(window) >= 0) {
-      longestInPreviousWindow = age.compareTo(window.multipliedBy(2)) >= 0 ? Duration.ZERO : longestInWindow;
+      longestInPreviousWindow =
+          age.compareTo(window.multipliedBy(2)) >= 0 ? Duration.ZERO : longestInWindow;
       longestInWindow = Duration.ZERO;
       windowStart = at;
     }
--- a/src/main/java/fordridge/runtime/EventSequencer.java
+++ b/src/main/java/fordridge/runtime/EventSequencer.java
@@ -7,11 +7,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Runs the inputs of a scheduler one after another in the order in which they come, and gives each
+ * Runs the inputs of a scheduler one at a time, in the order in which they come, and assigns each
  * its time.
  *
- * <p>What follows from an input is queued behind it. The clock only goes forward and counts from
- * the making of the sequencer. For one thread.
+ * <p>An input that results from the one that is running is queued after it. The clock never goes
+ * back and counts from the creation of the sequencer. Not thread-safe.
  */
 public final class EventSequencer {
   private final LongSupplier nanoClock;
@@ -26,10 +26,10 @@
   private boolean isReadingWatch;
 
   /**
-   * A sequencer whose clock is {@code nanoClock}.
+   * Creates a sequencer whose clock is {@code nanoClock}.
    *
-   * @param beforeInput gets the time of each input before it runs
-   * @param onFailure gets what an input threw; the inputs behind it run all the same
+   * @param beforeInput gets the time of each input before the input runs
+   * @param onFailure gets what an input threw; the inputs queued after it still run
    */
   public EventSequencer(
       LongSupplier nanoClock, Consumer<Duration> beforeInput, Consumer<Throwable> onFailure) {
@@ -39,35 +39,36 @@
     startNanos = nanoClock.getAsLong();
   }
 
-  /** The time since the start. */
+  /** The time since the creation of the sequencer. */
   public Duration clock() {
     return Duration.ofNanos(nanoClock.getAsLong() - startNanos);
   }
 
   /**
-   * Lets {@code reader} run before an input if it last ran that interval ago or longer: the events
-   * of the watch are known to each input, however many inputs wait. The reader may enter inputs.
+   * Runs {@code reader} before an input if it last ran at least {@code interval} ago, so that each
+   * input is based on recent events of the watch however many inputs are waiting. The reader may
+   * enter inputs.
    */
   public void watch(Runnable reader, Duration interval) {
     watchReader = reader;
     watchReadInterval = interval;
   }
 
-  /** When the watch was last read to its end; while it is read, when it was read before that. */
+  /** When the watch was last read to its end; during a read, the time of the read before it. */
   public Duration watchReadAt() {
     return watchReadAt;
   }
 
   /**
-   * Runs an input and all that follows from it; false if it was queued, as another input is
-   * running.
+   * Runs an input and all inputs that result from it; returns false if the input was queued because
+   * another one is running.
    */
   public boolean enter(Runnable input) {
     readWatchIfDue();
     return enterFromWatch(input);
   }
 
-  /** As {@link #enter}, for an event of the watch itself: the watch is not read for it. */
+  /** Same as {@link #enter}, for an event of the watch: the watch is not read before it. */
   public boolean enterFromWatch(Runnable input) {
     queue.addLast(input);
     if (isRunning) {
@@ -81,7 +82,10 @@
     return true;
   }
 
-  /** Queues an input behind the one that is running; it runs with the next that is entered. */
+  /**
+   * Queues an input after the one that is running. If none is running, it runs with the next input
+   * that is entered.
+   */
   public void behind(Runnable input) {
     queue.addLast(input);
   }
@@ -91,7 +95,7 @@
       beforeInput.accept(clock());
       input.run();
     } catch (RuntimeException | Error e) {
-      // An error must not leave the sequencer as running: no input would ever run again.
+      // The sequencer must not stay in the running state after an error: no input would run again.
       onFailure.accept(e);
     }
   }
--- a/src/main/java/fordridge/runtime/InputKind.java
+++ b/src/main/java/fordridge/runtime/InputKind.java
@@ -1,6 +1,6 @@
 package fordridge.runtime;
 
-/** What an input of a scheduler is about, for logs and statistics. */
+/** The kind of a scheduler's input, for logs and statistics. */
 public enum InputKind {
   START,
   SETTINGS,
--- a/src/main/java/fordridge/runtime/InputStatistics.java
+++ b/src/main/java/fordridge/runtime/InputStatistics.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * How many inputs of each kind ran in one turn of an event loop, how long they took, and which took
- * longest. What follows from an input counts as part of it. For one thread.
+ * Counts and times the inputs of each kind that ran in one turn of an event loop. Inputs that
+ * result from another input count as part of it. Not thread-safe.
  */
 public final class InputStatistics {
   private static final class KindStatistics {
@@ -18,12 +18,12 @@
   private final Map<InputKind, KindStatistics> byKind = new EnumMap<>(InputKind.class);
   private final Map<InputKind, Long> periodCounts = new EnumMap<>(InputKind.class);
 
-  /** A new turn begins: what was counted is forgotten. */
+  /** Starts a new turn and resets its counts. */
   public void startTurn() {
     byKind.clear();
   }
 
-  /** An input of this kind took so long. */
+  /** Records an input of this kind and the time that it took. */
   public void record(InputKind kind, long nanos) {
     periodCounts.merge(kind, 1L, Long::sum);
     KindStatistics statistics = byKind.computeIfAbsent(kind, k -> new KindStatistics());
@@ -37,14 +37,17 @@
     return byKind.isEmpty();
   }
 
-  /** The number of inputs by kind since the last call. */
+  /** Returns the number of inputs by kind since the last call. */
   public String takePeriodCounts() {
     String counts = periodCounts.toString();
     periodCounts.clear();
     return counts;
   }
 
-  /** The inputs of this turn by kind: their number, time and longest in milliseconds. */
+  /**
+   * Returns the inputs of this turn by kind: their number, total time and longest time in
+   * milliseconds.
+   */
   public String describeTurn() {
     StringBuilder text = new StringBuilder("inputs");
     byKind.forEach(
--- a/src/main/java/fordridge/runtime/MachineStartTimes.java
+++ b/src/main/java/fordridge/runtime/MachineStartTimes.java
@@ -5,34 +5,46 @@
 import java.util.Map;
 
 /**
- * Turns the Unix times at which machines started into times of the scheduler's own clock.
+ * Converts the Unix times at which machines started to times on the scheduler's own clock.
  *
- * <p>The wall clock of the scheduler's host may be off by an hour when the process starts: it may
- * have been stepped. A machine would then look warmed up at its start, or be in slow start for
- * good. Two observations prove that, and correct the offset: a start in the future, and a machine
- * that the watch reports as new although it started long ago. The correction errs to a later start,
- * so to a slower ramp. For one thread.
+ * <p>The wall clock of the scheduler's host may be wrong by an hour when the process starts, as it
+ * may have been stepped. A machine would then be treated as warmed up when it has just started, or
+ * stay in slow start for good. Two observations prove that the clock is wrong, and correct the
+ * offset: a start in the future, and a start long ago of a machine that the watch has just reported
+ * as new. A corrected start is rather too late than too early, so that the machine's load grows
+ * more slowly. Not thread-safe.
  */
 public final class MachineStartTimes {
-  /** Longer than a list is late, and than its server is away. */
+  /**
+   * The maximum age of a machine that the watch reports as new; longer than the list's delay and an
+   * outage of its server.
+   */
   static final Duration MAX_WATCH_DELAY = Duration.ofSeconds(30);
 
   private record Start(long epochMillis, Duration startedAt) {}
 
-  /** Of the listed machines, so that the same start is the same time whatever is learned later. */
+  /**
+   * The converted starts of the listed machines: the same start stays the same time after a
+   * correction of the offset.
+   */
   private final Map<String, Start> startsByMachine = new HashMap<>();
 
   private long epochMillisAtZero;
 
-  /** The wall clock's time at the zero of the scheduler's clock, as far as the host knows it. */
+  /**
+   * Creates a converter; {@code epochMillisAtZero} is the time of the host's wall clock at the zero
+   * of the scheduler's clock.
+   */
   public MachineStartTimes(long epochMillisAtZero) {
     this.epochMillisAtZero = epochMillisAtZero;
   }
 
   /**
-   * When the machine started, by the scheduler's clock; negative before its zero.
+   * Returns when the machine started, on the scheduler's clock; negative if that was before its
+   * zero.
    *
-   * @param isFromWatch whether it was told by the watch just now, not by the list of the configuration
+   * @param isFromWatch whether the watch has just reported the machine, as opposed to the list in
+   *     the configuration
    */
   public Duration startedAt(
       String machineId, long startedAtEpochMillis, boolean isFromWatch, Duration now) {
@@ -48,7 +60,8 @@
   private Duration convert(long startedAtEpochMillis, boolean isNewFromWatch, Duration now) {
     Duration startedAt = Duration.ofMillis(startedAtEpochMillis - epochMillisAtZero);
     boolean isInFuture = startedAt.compareTo(now) > 0;
-    boolean isTooOldForWatch = isNewFromWatch && now.minus(startedAt).compareTo(MAX_WATCH_DELAY) > 0;
+    boolean isTooOldForWatch =
+        isNewFromWatch && now.minus(startedAt).compareTo(MAX_WATCH_DELAY) > 0;
     if (!isInFuture && !isTooOldForWatch) {
       return startedAt;
     }
@@ -56,7 +69,7 @@
     return Duration.ofMillis(now.toMillis());
   }
 
-  /** The machine has left the list; it is new if it comes back. */
+  /** Removes a machine that left the list; it counts as new if it comes back. */
   public void forget(String machineId) {
     startsByMachine.remove(machineId);
   }
--- a/src/main/java/fordridge/runtime/SchedulerInputs.java
+++ b/src/main/java/fordridge/runtime/SchedulerInputs.java
@@ -14,16 +14,16 @@
 import java.util.zip.CRC32;
 
 /**
- * A scheduler with what every caller of it needs: VMs by id, machines by key, machine lists and
- * load reports.
+ * A scheduler together with the state that each of its callers needs: VMs by id, and machines by
+ * key as updated by machine lists and load reports.
  *
- * <p>It decides nothing; the simulator's adapter and the servers differ only in where their inputs
- * come from. Belongs to the thread that calls the scheduler.
+ * <p>Makes no decisions. The simulator's adapter and the servers share it; they differ only in the
+ * source of their inputs. Not thread-safe; confined to the thread that calls the scheduler.
  *
- * @param <K> what names a machine where the inputs come from
+ * @param <K> the key of a machine in the source of the inputs
  */
 public final class SchedulerInputs<K> {
-  /** A machine of a machine list; cores and memory are what is free, in the list's units. */
+  /** A machine in a machine list; cores and memory are the free amounts, in the list's units. */
   public record ListedMachine<K>(
       K key,
       String zone,
@@ -39,35 +39,38 @@
   private final Map<String, Vm> vms = new HashMap<>();
   private final Map<K, Machine> machines = new HashMap<>();
 
-  /** A scheduler of its own; {@code idOf} gives the id of a machine by its key. */
+  /** Creates a new scheduler; {@code idOf} returns the id of a machine for its key. */
   public SchedulerInputs(SchedulerActions actions, ToLongFunction<K> idOf) {
     this.scheduler = new Scheduler(actions);
     this.idOf = idOf;
   }
 
-  /** An id for a machine's name, the same at each scheduler: they take turns by it. */
+  /**
+   * Returns an id for a machine's name. It has to be the same at each scheduler: the schedulers use
+   * it to take turns at a machine in slow start.
+   */
   public static long number(String name) {
     CRC32 crc = new CRC32();
     crc.update(name.getBytes(StandardCharsets.UTF_8));
     return crc.getValue();
   }
 
-  /** The VM with that id, or null. */
+  /** Returns the VM with this id, or null if it is not known. */
   public Vm vm(String id) {
     return vms.get(id);
   }
 
-  /** Adds a VM that the scheduler will get. */
+  /** Adds a VM that will be passed to the scheduler. */
   public void add(Vm vm) {
     vms.put(vm.id, vm);
   }
 
-  /** How many VMs are known. */
+  /** The number of known VMs. */
   public int size() {
     return vms.size();
   }
 
-  /** The attempt of that number, or null where its VM is no longer known. */
+  /** Returns the attempt with this number, or null if its VM is no longer known. */
   public PlacementAttempt attempt(String vmId, int number) {
     Vm vm = vms.get(vmId);
     return vm == null || number < 0 || number >= vm.attempts.size()
@@ -76,24 +79,24 @@
   }
 
   /**
-   * Forgets a VM that is finished and has no attempt in flight; false if it is not or was not
-   * known, also where another VM has its id by now.
+   * Removes a VM that is finished and has no attempt in flight. Returns false if it is not finished
+   * or not known, which includes that another VM has its id by now.
    */
   public boolean forget(Vm vm) {
     return vm.isFinished && vm.inFlightAttempts() == 0 && vms.remove(vm.id, vm);
   }
 
-  /** The machine with that key, made when it is first asked for. */
+  /** Returns the machine with this key, which is created on the first call. */
   public Machine machine(K key) {
     return machines.computeIfAbsent(key, k -> new Machine(idOf.applyAsLong(k)));
   }
 
-  /** The machine with that key, or null. */
+  /** Returns the machine with this key, or null if it is not known. */
   public Machine known(K key) {
     return machines.get(key);
   }
 
-  /** A machine list came: complete or changes, perhaps out of date. */
+  /** Applies a machine list: a complete one or a list of changes, possibly out of date. */
   public void list(boolean isComplete, boolean mayBeStale, List<ListedMachine<K>> listed) {
     scheduler.machineListStarted(isComplete, mayBeStale);
     for (ListedMachine<K> entry : listed) {
@@ -109,8 +112,8 @@
   }
 
   /**
-   * A load report came; the input that it came with follows. {@code utilization} is the busy share
-   * of the cores; what was not reported is NaN.
+   * Applies a load report, before the input that it came with. {@code utilization} is the busy
+   * share of the cores; values that were not reported are NaN.
    */
   public void report(
       Machine machine, double spareCores, double spareMemory, double utilization, Duration now) {
