--- a/deploy/serve.sh
+++ b/deploy/serve.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # Starts the scheduler within the limits of its configuration: heap, direct memory and stacks are bounded by the
-# configured memory, and classes come from the archive that the build made. See docs/platform.md. Where it is started, no
-# other program may be: the configuration is read by shell built-ins, and exec makes the shell the scheduler.
+# configured memory, and classes are loaded from the archive that the build created. See docs/platform.md. The environment
+# allows no other program to be started: shell built-ins read the configuration, and exec replaces the shell by the
+# scheduler.
 LC_ALL=C
 mb=
 if [[ -r ${LB_CONFIG-} ]]; then
--- a/src/test/java/fordridge/eventloop/MonitoredIoHandlerTest.java
+++ b/src/test/java/fordridge/eventloop/MonitoredIoHandlerTest.java
@@ -16,7 +16,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 
-/** The loop's waits: whole milliseconds, never shorter than asked, and no polling. */
+/**
+ * The event loop waits for whole milliseconds, never for less than requested, and does not poll.
+ */
 class MonitoredIoHandlerTest {
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int TIMERS = 200;
@@ -60,7 +62,7 @@
     }
   }
 
-  /** Timers one after another, each due within less than a millisecond. */
+  /** Runs timers one after another, each due within less than a millisecond. */
   private static void runInARow(EventLoopTimers timers, CountDownLatch left) {
     timers.runAfter(
         Duration.ofNanos(400_000),
--- a/src/test/java/fordridge/group/VmGroupTest.java
+++ b/src/test/java/fordridge/group/VmGroupTest.java
@@ -16,7 +16,10 @@
 import net.jqwik.api.Property;
 
 class VmGroupTest {
-  /** Machines that act later, on demand; it checks that each member gets one final response. */
+  /**
+   * A cluster that stops and cancels only on demand; checks that each member gets only one final
+   * response.
+   */
   private static final class FakeCluster implements VmGroup.MemberActions {
     final VmGroup group;
     final Map<String, Boolean> mayRunAgain = new HashMap<>();
@@ -154,8 +157,8 @@
   }
 
   /**
-   * Any order of acceptances, rejections, failures and terminations: one final response for each
-   * member, and all accepted or none running.
+   * Under any order of acceptances, rejections, failures and terminations each member gets one
+   * final response, and either all members are accepted or none is left running.
    */
   @Property(tries = 600, seed = "4242")
   void allMembersAreAcceptedOrNoneKeepsRunning(@ForAll long seed) {
--- a/src/test/java/fordridge/runtime/MachineStartTimesTest.java
+++ b/src/test/java/fordridge/runtime/MachineStartTimesTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import net.jqwik.api.Example;
 
-/** Start times of machines while the wall clock of the scheduler's host is off. */
+/** Start times of machines when the wall clock of the scheduler's host is wrong. */
 class MachineStartTimesTest {
   private static final long TRUE_EPOCH = 1_800_000_000_000L;
   private static final long HOUR = Duration.ofHours(1).toMillis();
--- a/src/test/java/fordridge/runtime/WatchReadTest.java
+++ b/src/test/java/fordridge/runtime/WatchReadTest.java
@@ -24,8 +24,9 @@
 import net.jqwik.api.Example;
 
 /**
- * A loop with far more to do in one round than it bears is told of a drain in the middle; every
- * input costs it time.
+ * An event loop has many more inputs in one turn than it can run in time, and a machine is drained
+ * meanwhile: offers must stop soon after the drain although the turn goes on. Every input advances
+ * the clock.
  */
 class WatchReadTest {
   private static final Duration INPUT_COST = Duration.ofMillis(5);
@@ -34,7 +35,7 @@
   private static final Duration MAX_OFFER_DELAY = Duration.ofMillis(100);
   private static final int OFFERS = 400;
 
-  /** The machine's connections, and when a set-up was written on one. */
+  /** Records the connections that are being opened, and when each placement request was written. */
   private final class FakeTransport implements MachineTransport {
     final List<MachineConnection> opening = new ArrayList<>();
     final List<Duration> writtenAt = new ArrayList<>();
@@ -86,7 +87,7 @@
     public void ping(MachineConnection connection) {}
   }
 
-  /** How each claim ended. */
+  /** Records the outcome of each attempt. */
   private static final class OutcomeRecorder implements MachineConnectionListener {
     final Map<PlacementAttempt, Outcome> byAttempt = new HashMap<>();
 
@@ -110,7 +111,8 @@
     public void unknownVmAccepted(String vmId, Machine accepting) {}
 
     @Override
-    public void attemptEndedUnanswered(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
+    public void attemptEndedUnanswered(
+        PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
       byAttempt.put(attempt, outcome);
     }
 
@@ -167,7 +169,8 @@
   }
 
   /**
-   * All connections come up in one round of the loop, and the drain is told in the middle of it.
+   * All connections are established in one turn of the loop, and the drain is reported in the
+   * middle of it.
    */
   @Example
   void noOfferIsWrittenLongAfterADrainInALongLoopTurn() {
@@ -186,11 +189,15 @@
     assertThat(latest)
         .isGreaterThan(DRAINED_AT.minus(INPUT_COST))
         .isLessThanOrEqualTo(DRAINED_AT.plus(MAX_OFFER_DELAY));
-    assertThat(outcomes.byAttempt).hasSize(OFFERS - transport.writtenAt.size()).containsValue(Outcome.NOT_SENT);
+    assertThat(outcomes.byAttempt)
+        .hasSize(OFFERS - transport.writtenAt.size())
+        .containsValue(Outcome.NOT_SENT);
   }
 
   /**
-   * Guards the figure of the latest offer, counted from the last read that did not know of a drain.
+   * Guards the measured delay of the latest offer after a drain. It counts from the last read that
+   * did not show the drain, so an event that the loop itself read must not count as a read of the
+   * watch.
    */
   @Example
   void eventEnteredFromTheWatchDoesNotCountAsAWatchRead() {
@@ -215,7 +222,8 @@
     for (int i = 0; i < OFFERS; i++) {
       enterCostly(() -> sequencer.enter(() -> {}));
     }
-    assertThat(reads).hasSize((int) (OFFERS * INPUT_COST.toMillis() / READ_INTERVAL.toMillis()) - 1);
+    assertThat(reads)
+        .hasSize((int) (OFFERS * INPUT_COST.toMillis() / READ_INTERVAL.toMillis()) - 1);
     assertThat(sequencer.watchReadAt()).isEqualTo(reads.get(reads.size() - 1));
   }
 }
--- a/src/test/java/fordridge/session/ClientSessionsTest.java
+++ b/src/test/java/fordridge/session/ClientSessionsTest.java
@@ -43,7 +43,7 @@
     return new Rejected(vm, Duration.ZERO, "");
   }
 
-  /** Takes all that the session has to write. */
+  /** Takes all responses that the session has to write. */
   private static List<ClientResponse> drain(ClientSession session) {
     List<ClientResponse> responses = new ArrayList<>();
     for (Optional<NumberedResponse> next = session.nextToWrite();
@@ -163,7 +163,10 @@
     assertThat(sessions.clientConnected("a", session.resumeToken(), 5)).isNotSameAs(session);
   }
 
-  /** A client that never acknowledges costs no more than the limit, and may request by name. */
+  /**
+   * A client that never acknowledges takes no more memory than the limit allows, and can repeat its
+   * requests to get discarded responses again.
+   */
   @Example
   void discardedResponsesAreSentAgainOnlyForRepeatedRequests() {
     ClientSession session = sessions.clientConnected("a", "", 0);
@@ -191,7 +194,9 @@
     assertThat(sessions.sessionCount()).isEqualTo(0);
   }
 
-  /** Streams that break at any message: each response is received exactly once, in order. */
+  /**
+   * Streams may break after any message: each response is still received exactly once and in order.
+   */
   @Property(tries = 300, seed = "99")
   void eachResponseIsReceivedExactlyOnceOverBrokenStreams(@ForAll long seed) {
     ClientSessions all = newSessions();
@@ -224,7 +229,7 @@
         }
         default -> {
           NumberedResponse next = session.nextToWrite().orElse(null);
-          // What is written may be lost with the stream before the client takes it in.
+          // A written response may be lost with the stream before the client reads it.
           if (next != null && random.nextInt(3) == 0) {
             session = all.clientConnected("a", token, seen);
           } else if (next != null) {
--- a/src/test/java/fordridge/session/NoticeDeliveriesTest.java
+++ b/src/test/java/fordridge/session/NoticeDeliveriesTest.java
@@ -37,10 +37,10 @@
   @Example
   void acknowledgementOnAConnectionWithoutTheNoticeIsIgnored() {
     deliveries.connectionUsed("own");
-    deliveries.connectionUsed("stranger");
+    deliveries.connectionUsed("other");
     vmTerminated("vm", "own");
-    deliveries.acknowledged("vm", "stranger");
-    deliveries.acknowledged("unknown", "stranger");
+    deliveries.acknowledged("vm", "other");
+    deliveries.acknowledged("unknown", "other");
     assertThat(deliveries.isUndelivered("vm")).isTrue();
     deliveries.acknowledged("vm", "own");
     assertThat(deliveries.isUndelivered("vm")).isFalse();
@@ -50,10 +50,10 @@
   void noticeWithoutOwnConnectionGoesToTheOneThatHasAcknowledgedMost() {
     acknowledgeOne("client");
     acknowledgeOne("client");
-    acknowledgeOne("stranger");
+    acknowledgeOne("other");
     deliveries.connectionUsed("latest");
     assertThat(vmTerminated("vm", null)).contains("client");
-    assertThat(overdueAfter(350)).containsExactly("stranger");
+    assertThat(overdueAfter(350)).containsExactly("other");
     assertThat(overdueAfter(350)).containsExactly("latest");
     assertThat(overdueAfter(350)).as("each once").isEmpty();
   }
--- a/src/test/java/fordridge/session/PendingResponsesTest.java
+++ b/src/test/java/fordridge/session/PendingResponsesTest.java
@@ -46,18 +46,18 @@
   void unacknowledgedNoticeIsResentOnceToAClientThatAcknowledges() {
     responses.requestReceived("a", "silent");
     responses.takeAccepted("a");
-    responses.requestReceived("b", "lively");
+    responses.requestReceived("b", "acknowledging");
     responses.takeAccepted("b");
     responses.vmTerminated("a", Outcome.DONE, NOW);
     Duration later = NOW.plusMillis(600);
     assertThat(responses.takeOverdueNotices(later)).isEmpty();
 
     responses.vmTerminated("b", Outcome.DONE, NOW);
-    responses.noticeAcknowledged("b", "lively");
+    responses.noticeAcknowledged("b", "acknowledging");
     assertThat(responses.takeOverdueNotices(NOW.plusMillis(300))).isEmpty();
     assertThat(responses.takeOverdueNotices(NOW.plusMillis(400)))
         .extracting(PendingResponsesTest::describe)
-        .containsExactly("lively a");
+        .containsExactly("acknowledging a");
     assertThat(responses.takeOverdueNotices(later.plusSeconds(2))).isEmpty();
     assertThat(responses.undeliveredNotices()).isEqualTo(1);
   }
@@ -100,7 +100,10 @@
     assertThat(responses.takeDeferredNotices(NOW.plusSeconds(9))).isEmpty();
   }
 
-  /** Notices used to go to the last connection with a request, whose client may never listen. */
+  /**
+   * Guards against notices that are sent on the connection with the last request, whose client may
+   * never read them, although another client has acknowledged notices before.
+   */
   @Example
   void noticeOfAClosedConnectionGoesToOneThatHasAcknowledgedBefore() {
     responses.requestReceived("one", "connection");
@@ -109,13 +112,13 @@
     responses.takeAccepted("two");
     assertThat(responses.vmTerminated("two", Outcome.DONE, NOW)).contains("acknowledging");
     responses.noticeAcknowledged("two", "acknowledging");
-    responses.requestReceived("three", "never listening");
+    responses.requestReceived("three", "never acknowledging");
     responses.connectionClosed("connection");
     assertThat(responses.vmTerminated("one", Outcome.DONE, NOW)).contains("acknowledging");
     responses.connectionClosed("acknowledging");
     assertThat(responses.takeDeferredNotices(NOW))
         .extracting(PendingResponsesTest::describe)
-        .containsExactly("never listening one");
+        .containsExactly("never acknowledging one");
   }
 
   @Example
@@ -141,7 +144,10 @@
     assertThat(responses.takeDeferredNotices(NOW)).isEmpty();
   }
 
-  /** One response each while the connection is open, consistent counts, and nothing left over. */
+  /**
+   * Each request gets at most one response while its connection is open, the counts stay
+   * consistent, and no state is left at the end.
+   */
   @Property(tries = 200, seed = "1212")
   void noResponseIsSentTwiceAndNoStateIsLeft(@ForAll long seed) {
     Random random = new Random(seed);
@@ -194,7 +200,8 @@
   }
 
   /**
-   * Connections open, close and sometimes acknowledge: no notice is lost, none sent again after.
+   * Connections open, close and sometimes acknowledge: no notice is lost, and none is sent again
+   * after its acknowledgement.
    */
   @Property(tries = 200, seed = "1414")
   void everyNoticeIsSentUntilItIsAcknowledged(@ForAll long seed) {
