--- a/src/main/java/fordridge/json/MachineConnectionHandler.java
+++ b/src/main/java/fordridge/json/MachineConnectionHandler.java
@@ -17,8 +17,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to a machine on the wire: decodes what the machine sends into events, and writes
- * messages. Confined to the connection's event loop.
+ * One connection to a machine: decodes the machine's messages into events, and writes messages.
+ * Confined to the connection's event loop.
+ *
+ * <p>The table has the next state for each state and event:
  *
  * <pre>
  * state       connected    failed    lost or malformed  closed by the scheduler
@@ -33,11 +35,11 @@
     CONNECTING,
     ESTABLISHED,
     /**
-     * Half-closed by the scheduler: nothing is concluded from it as a connection, and nothing is
-     * written, but it is read to its end.
+     * Half-closed by the scheduler: its messages are still reported, but nothing is written, and
+     * its close is not reported.
      */
     DRAINING,
-    /** Nothing more is concluded from it. */
+    /** No further event is reported. */
     CLOSED
   }
 
@@ -78,7 +80,7 @@
     this.listener = listener;
   }
 
-  /** Sets the channel, as soon as there is one and before anything comes of it. */
+  /** Sets the channel; called as soon as it exists, before any of its events. */
   void setChannel(Channel newChannel) {
     channel = newChannel;
   }
@@ -87,7 +89,7 @@
     return state == State.ESTABLISHED && channel.isActive();
   }
 
-  /** Whether nothing that was written waits to go out. */
+  /** Whether the connection is up and all written output has been sent. */
   boolean isWritable() {
     ChannelOutboundBuffer pending = channel.unsafe().outboundBuffer();
     return isConnected() && pending != null && pending.totalPendingWriteBytes() == 0;
@@ -97,7 +99,7 @@
     return state == State.CONNECTING;
   }
 
-  /** The last attempt to connect failed for a reason on the scheduler's own host. */
+  /** Records that the last attempt to connect failed for a reason on the scheduler's own host. */
   void markFailedLocally() {
     failedLocally = true;
   }
@@ -125,11 +127,11 @@
   public void channelInactive(ChannelHandlerContext ctx) {
     trace(ctx.channel(), "inactive, state " + state);
     if (state == State.ESTABLISHED) {
-      lost("closed by the machine");
+      connectionLost("closed by the machine");
     }
   }
 
-  /** The connection did not come up. */
+  /** The connection could not be established. */
   void connectFailed(ConnectFailure failure) {
     if (state == State.CONNECTING || state == State.ESTABLISHED) {
       state = State.CLOSED;
@@ -139,10 +141,10 @@
 
   @Override
   void malformedInput(String reason) {
-    lost(reason);
+    connectionLost(reason);
   }
 
-  private void lost(String reason) {
+  private void connectionLost(String reason) {
     if (state == State.CONNECTING || state == State.ESTABLISHED) {
       state = State.CLOSED;
       closeChannel();
@@ -150,16 +152,18 @@
     }
   }
 
-  /** Closes the connection, for the scheduler; a connection that is up is read to its end. */
+  /**
+   * Closes the connection on behalf of the scheduler; an established connection is read to its end.
+   */
   void close() {
     if (!channel.isActive()) {
       state = State.CLOSED;
       closeChannel();
       return;
     }
-    // What the machine writes at this moment would be lost with the connection, and a termination
-    // is notified once: so only this side is closed, and the rest is read until the machine closes
-    // its own.
+    // The machine may be writing at this moment, and sends each termination notice only once; it
+    // would be lost with the connection. So only the scheduler's side is closed, and input is read
+    // until the machine closes its side.
     state = State.DRAINING;
     quota.connectionClosing();
     trace(channel, "closing");
@@ -174,7 +178,7 @@
         .schedule(this::closeChannel, DRAIN_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // The end of the close is seen in the close future.
+  @SuppressWarnings("FutureReturnValueIgnored") // The close future reports the close.
   private void closeChannel() {
     channel.close();
   }
@@ -214,11 +218,11 @@
     boolean answersProbe = type.equals("hb_ok");
     boolean withLoadReport = fields.get("load") instanceof String;
     if (fields.get("load") instanceof String load) {
-      listener.loadReported(loadReport(load), answersProbe);
+      listener.loadReported(parseLoadReport(load), answersProbe);
     }
     switch (type) {
-      case "up" -> accepted(id, description);
-      case "down" -> terminated(id, code, String.valueOf(fields.get("note")));
+      case "up" -> vmAccepted(id, description);
+      case "down" -> vmTerminated(id, code, String.valueOf(fields.get("note")));
       case "tell" -> vmReported(id, fields);
       case "hb_ok" -> listener.probeAnswered(connection, code == HEALTHY, withLoadReport);
       case "hb" -> write("hb_ok", id, HEALTHY, null);
@@ -228,15 +232,15 @@
     }
   }
 
-  private void accepted(String vmId, String description) {
+  private void vmAccepted(String vmId, String description) {
     if (description == null) {
-      rejectInput("line: an answer without field 'd'");
+      rejectInput("line: field 'd' is missing in an acceptance");
     } else {
       listener.vmAccepted(connection, vmId, description);
     }
   }
 
-  private void terminated(String vmId, int code, String note) {
+  private void vmTerminated(String vmId, int code, String note) {
     TerminationCause cause = TerminationCause.fromCode(code);
     OutcomeReason reason = OUTCOME_REASONS.getOrDefault(note, OutcomeReason.UNSPECIFIED);
     listener.vmTerminated(
@@ -247,16 +251,16 @@
   private void vmReported(String vmId, Map<String, Object> fields) {
     String note = String.valueOf(fields.get("note"));
     VmReportKind kind = VM_REPORT_KINDS.getOrDefault(note, VmReportKind.UNKNOWN);
-    listener.vmReported(connection, vmId, kind, number(fields.get("value")));
+    listener.vmReported(connection, vmId, kind, parseNumber(fields.get("value")));
   }
 
-  /** Reads pairs of name and value, as in {@code x0:12.5;x1:64;utilization:0.3}. */
-  private static LoadReport loadReport(String load) {
+  /** Parses pairs of name and value, as in {@code x0:12.5;x1:64;utilization:0.3}. */
+  private static LoadReport parseLoadReport(String load) {
     Map<String, Double> values = new HashMap<>();
     for (String pair : load.split(";", -1)) {
       int colon = pair.indexOf(':');
       if (colon > 0) {
-        values.put(pair.substring(0, colon), number(pair.substring(colon + 1)));
+        values.put(pair.substring(0, colon), parseNumber(pair.substring(colon + 1)));
       }
     }
     return new LoadReport(
@@ -265,8 +269,8 @@
         values.getOrDefault("utilization", values.getOrDefault("util", Double.NaN)));
   }
 
-  /** The value as a number, NaN where it is none. */
-  private static double number(Object value) {
+  /** Returns the value as a number, or NaN if it is absent or not a number. */
+  private static double parseNumber(Object value) {
     if (value instanceof Number number) {
       return number.doubleValue();
     }
--- a/src/test/java/fordridge/session/ClientSessionsTest.java
+++ b/src/test/java/fordridge/session/ClientSessionsTest.java
@@ -43,7 +43,7 @@
     return new Rejected(vm, Duration.ZERO, "");
   }
 
-  /** Takes all that the session has to write. */
+  /** Takes all responses that the session has to write. */
   private static List<ClientResponse> drain(ClientSession session) {
     List<ClientResponse> responses = new ArrayList<>();
     for (Optional<NumberedResponse> next = session.nextToWrite();
@@ -145,14 +145,14 @@
   }
 
   @Example
-  void eventLoopLagIsAllowedForAWhileAndForgotten() {
-    EventLoopLag l = new EventLoopLag(Duration.ofSeconds(2));
-    l.seen(Duration.ofMillis(400), Duration.ofMillis(100));
-    l.seen(Duration.ofMillis(5), Duration.ofMillis(2200));
-    assertThat(l.allowance(Duration.ofMillis(2300))).isEqualTo(Duration.ofMillis(400));
-    l.seen(Duration.ofMillis(7), Duration.ofMillis(4300));
-    assertThat(l.allowance(Duration.ofMillis(4400))).isEqualTo(Duration.ofMillis(7));
-    assertThat(l.allowance(Duration.ofSeconds(60))).isEqualTo(Duration.ZERO);
+  void eventLoopLagCountsForUpToTwoWindows() {
+    EventLoopLag lag = new EventLoopLag(Duration.ofSeconds(2));
+    lag.seen(Duration.ofMillis(400), Duration.ofMillis(100));
+    lag.seen(Duration.ofMillis(5), Duration.ofMillis(2200));
+    assertThat(lag.allowance(Duration.ofMillis(2300))).isEqualTo(Duration.ofMillis(400));
+    lag.seen(Duration.ofMillis(7), Duration.ofMillis(4300));
+    assertThat(lag.allowance(Duration.ofMillis(4400))).isEqualTo(Duration.ofMillis(7));
+    assertThat(lag.allowance(Duration.ofSeconds(60))).isEqualTo(Duration.ZERO);
   }
 
   @Example
@@ -163,9 +163,12 @@
     assertThat(sessions.clientConnected("a", session.resumeToken(), 5)).isNotSameAs(session);
   }
 
-  /** A client that never acknowledges costs no more than the limit, and may request by name. */
+  /**
+   * A client that never acknowledges takes no more memory than the limit allows, and can repeat its
+   * requests to get discarded responses again.
+   */
   @Example
-  void discardedResponsesAreNotResumedFromButSentAgainByName() {
+  void discardedResponsesAreSentAgainOnlyForRepeatedRequests() {
     ClientSession session = sessions.clientConnected("a", "", 0);
     for (int i = 0; i < 60; i++) {
       sessions.requestReceived(session, "v" + i);
@@ -191,7 +194,9 @@
     assertThat(sessions.sessionCount()).isEqualTo(0);
   }
 
-  /** Streams that break at any message: each response is received exactly once, in order. */
+  /**
+   * Streams may break after any message: each response is still received exactly once and in order.
+   */
   @Property(tries = 300, seed = "99")
   void eachResponseIsReceivedExactlyOnceOverBrokenStreams(@ForAll long seed) {
     ClientSessions all = newSessions();
@@ -224,7 +229,7 @@
         }
         default -> {
           NumberedResponse next = session.nextToWrite().orElse(null);
-          // What is written may be lost with the stream before the client takes it in.
+          // A written response may be lost with the stream before the client reads it.
           if (next != null && random.nextInt(3) == 0) {
             session = all.clientConnected("a", token, seen);
           } else if (next != null) {
--- a/src/test/java/fordridge/session/PendingResponsesTest.java
+++ b/src/test/java/fordridge/session/PendingResponsesTest.java
@@ -43,27 +43,27 @@
   }
 
   @Example
-  void noticeThatIsNotAcknowledgedGoesOnceToAClientThatAcknowledges() {
+  void unacknowledgedNoticeIsResentOnceToAClientThatAcknowledges() {
     responses.requestReceived("a", "silent");
     responses.takeAccepted("a");
-    responses.requestReceived("b", "lively");
+    responses.requestReceived("b", "acknowledging");
     responses.takeAccepted("b");
     responses.vmTerminated("a", Outcome.DONE, NOW);
     Duration later = NOW.plusMillis(600);
     assertThat(responses.takeOverdueNotices(later)).isEmpty();
 
     responses.vmTerminated("b", Outcome.DONE, NOW);
-    responses.noticeAcknowledged("b", "lively");
+    responses.noticeAcknowledged("b", "acknowledging");
     assertThat(responses.takeOverdueNotices(NOW.plusMillis(300))).isEmpty();
     assertThat(responses.takeOverdueNotices(NOW.plusMillis(400)))
         .extracting(PendingResponsesTest::describe)
-        .containsExactly("lively a");
+        .containsExactly("acknowledging a");
     assertThat(responses.takeOverdueNotices(later.plusSeconds(2))).isEmpty();
     assertThat(responses.undeliveredNotices()).isEqualTo(1);
   }
 
   @Example
-  void requestsOverTheBoundAreNotAdmitted() {
+  void requestsOverTheLimitAreNotAdmitted() {
     for (String vmId : List.of("a", "b", "c")) {
       assertThat(responses.requestReceived(vmId, "connection")).isEqualTo(Admission.ADMITTED);
     }
@@ -100,26 +100,29 @@
     assertThat(responses.takeDeferredNotices(NOW.plusSeconds(9))).isEmpty();
   }
 
-  /** Notices used to go to the last connection with a request, whose client may never listen. */
+  /**
+   * Guards against notices that are sent on the connection with the last request, whose client may
+   * never read them, although another client has acknowledged notices before.
+   */
   @Example
-  void noticeOfClosedConnectionGoesToOneThatHasAcknowledgedBefore() {
+  void noticeOfAClosedConnectionGoesToOneThatHasAcknowledgedBefore() {
     responses.requestReceived("one", "connection");
     responses.takeAccepted("one");
     responses.requestReceived("two", "acknowledging");
     responses.takeAccepted("two");
     assertThat(responses.vmTerminated("two", Outcome.DONE, NOW)).contains("acknowledging");
     responses.noticeAcknowledged("two", "acknowledging");
-    responses.requestReceived("three", "never listening");
+    responses.requestReceived("three", "never acknowledging");
     responses.connectionClosed("connection");
     assertThat(responses.vmTerminated("one", Outcome.DONE, NOW)).contains("acknowledging");
     responses.connectionClosed("acknowledging");
     assertThat(responses.takeDeferredNotices(NOW))
         .extracting(PendingResponsesTest::describe)
-        .containsExactly("never listening one");
+        .containsExactly("never acknowledging one");
   }
 
   @Example
-  void vmThatIsHandedOverOnceMoreIsToldWhereItsClientHasCome() {
+  void noticeOfAVmHandedOverAgainGoesToTheNewConnection() {
     responses.requestReceived("running", "first");
     responses.takeAccepted("running");
     responses.requestReceived("pending", "first");
@@ -141,14 +144,17 @@
     assertThat(responses.takeDeferredNotices(NOW)).isEmpty();
   }
 
-  /** One response each while the connection is open, consistent counts, and nothing left over. */
+  /**
+   * Each request gets at most one response while its connection is open, the counts stay
+   * consistent, and no state is left at the end.
+   */
   @Property(tries = 200, seed = "1212")
-  void noResponseIsSentTwiceAndNothingIsKept(@ForAll long seed) {
+  void noResponseIsSentTwiceAndNoStateIsLeft(@ForAll long seed) {
     Random random = new Random(seed);
     PendingResponses<Integer> registry =
         new PendingResponses<>(20, 20, NOTICE_LIFETIME, displaced -> {});
     Map<String, Integer> requested = new HashMap<>();
-    Set<String> answered = new HashSet<>();
+    Set<String> responded = new HashSet<>();
     List<String> vmIds = new ArrayList<>();
     for (int i = 0; i < 300; i++) {
       int connection = random.nextInt(5);
@@ -161,7 +167,7 @@
           if (registry.requestReceived(vmId, connection) == Admission.ADMITTED) {
             vmIds.add(vmId);
             requested.put(vmId, connection);
-            answered.remove(vmId);
+            responded.remove(vmId);
           }
         }
         case 1 -> {
@@ -170,7 +176,7 @@
               .ifPresent(
                   recipient -> {
                     assertThat(recipient).isEqualTo(requested.get(vmId));
-                    assertThat(answered.add(vmId)).isTrue();
+                    assertThat(responded.add(vmId)).isTrue();
                   });
         }
         case 2 -> registry.vmTerminated(vmId, Outcome.DONE, NOW);
@@ -178,7 +184,7 @@
         default ->
             registry
                 .connectionClosed(connection)
-                .forEach(abandoned -> assertThat(answered).doesNotContain(abandoned));
+                .forEach(abandoned -> assertThat(responded).doesNotContain(abandoned));
       }
       assertThat(registry.pendingRequests()).isBetween(0, 20);
     }
@@ -194,7 +200,8 @@
   }
 
   /**
-   * Connections open, close and sometimes acknowledge: no notice is lost, none sent again after.
+   * Connections open, close and sometimes acknowledge: no notice is lost, and none is sent again
+   * after its acknowledgement.
    */
   @Property(tries = 200, seed = "1414")
   void everyNoticeIsSentUntilItIsAcknowledged(@ForAll long seed) {
