--- a/src/main/java/fordridge/server/json/ActiveRequests.java
+++ b/src/main/java/fordridge/server/json/ActiveRequests.java
@@ -10,15 +10,15 @@
 import java.util.Map;
 
 /**
- * The requests and VMs that are not over: what is forwarded of each to machines, and how one is
- * given up and forgotten. Confined to the event loop.
+ * The pending requests and running VMs, with the payload that is forwarded to machines for each
+ * pending request. Confined to the event loop.
  */
 final class ActiveRequests {
   private final SchedulerEventLoop loop;
   private final SchedulerInputs<String> inputs;
   private final RequestLog requestLog;
 
-  /** By VM, until a machine has accepted it. */
+  /** By VM id, until a machine has accepted the VM. */
   private final Map<String, RequestPayload> payloads = new HashMap<>();
 
   ActiveRequests(SchedulerEventLoop loop, SchedulerInputs<String> inputs, RequestLog requestLog) {
@@ -27,7 +27,7 @@
     this.inputs = inputs;
   }
 
-  /** Where the state transitions of requests are logged. */
+  /** The log of the requests' state transitions. */
   RequestLog log() {
     return requestLog;
   }
@@ -48,17 +48,17 @@
     return inputs.vm(vmId);
   }
 
-  /** What is forwarded to a machine of the request. */
+  /** The part of the request that is forwarded to a machine; null once the VM was accepted. */
   RequestPayload payloadOf(Vm vm) {
     return payloads.get(vm.id);
   }
 
-  /** A machine has accepted the VM: its request is not forwarded again. */
-  void accepted(Vm vm) {
+  /** Drops the payload of a VM that a machine has accepted: its request is not forwarded again. */
+  void requestAccepted(Vm vm) {
     payloads.remove(vm.id);
   }
 
-  /** Nobody waits for the VM any more: its attempts are cancelled. */
+  /** Cancels the attempts of a VM that no client waits for any more. */
   void abandon(Vm vm, MachineRegistry machines) {
     inputs.scheduler.clientLeft(vm);
     for (PlacementAttempt attempt : List.copyOf(vm.attempts)) {
@@ -66,22 +66,23 @@
         machines.poolOf(attempt).cancel(attempt, Outcome.CANCELLED, loop.now());
       }
     }
-    forgetIfOver(vm);
+    removeIfFinished(vm);
   }
 
   /**
-   * A client hands the VM over by which it was requested or ended before: its attempt on that
-   * machine gives way to the handover, others are cancelled.
+   * Replaces a VM that a client now hands over as running and that has attempts left from an
+   * earlier request. The attempt on the machine that runs the VM is superseded by the handover; the
+   * others are cancelled.
    */
-  void supersede(Vm vm, MachineHandle runningAt, MachineRegistry machines) {
+  void supersede(Vm vm, MachineHandle machine, MachineRegistry machines) {
     inputs.scheduler.clientLeft(vm);
-    runningAt.pool().supersede(vm.id);
+    machine.pool().supersede(vm.id);
     abandon(vm, machines);
   }
 
-  /** Forgets the VM, behind what is being entered, unless it still has attempts in flight. */
-  void forgetIfOver(Vm vm) {
-    loop.enterBehind(
+  /** Removes the VM after the current input, unless it still has attempts in flight. */
+  void removeIfFinished(Vm vm) {
+    loop.enqueue(
         () -> {
           if (inputs.forget(vm) || inputs.vm(vm.id) == null) {
             payloads.remove(vm.id);
@@ -89,8 +90,8 @@
         });
   }
 
-  /** The number of VMs and payloads that are kept. */
-  int size() {
+  /** The number of VMs and payloads that are retained. */
+  int retainedCount() {
     return inputs.size() + payloads.size();
   }
 }
--- a/src/main/java/fordridge/server/json/AttemptOutcomeHandler.java
+++ b/src/main/java/fordridge/server/json/AttemptOutcomeHandler.java
@@ -17,9 +17,9 @@
 import java.util.Optional;
 
 /**
- * Reports what the connections to machines conclude on attempts to the scheduler, and to clients
- * what they wait for. It is called from within an input; all it does is entered behind it. Confined
- * to the event loop.
+ * Reports the outcomes of attempts, as seen on the connections to machines, to the scheduler, and
+ * sends clients the resulting responses and notices. Called while an input runs; what it changes is
+ * queued to run after that input. Confined to the event loop.
  */
 final class AttemptOutcomeHandler implements MachineConnectionListener {
   private final SchedulerEventLoop loop;
@@ -48,7 +48,7 @@
     this.requestLog = requestLog;
   }
 
-  /** To be called once, before the first outcome. */
+  /** Sets the machines; to be called once, before the first outcome. */
   void attach(MachineRegistry machines) {
     this.machines = machines;
   }
@@ -64,65 +64,67 @@
 
   @Override
   public void attemptAccepted(PlacementAttempt attempt, String description) {
-    loop.enterBehind(
+    loop.enqueue(
         () -> {
           if (!attempt.isInFlight() || attempt.vm.isFinished) {
-            // Nobody waits for it: it must not run on without an owner.
-            requestLog.vms().acceptedTooLate(attempt, machineIdOf(attempt));
+            // No client waits for the VM, and it must not run on without an owner.
+            requestLog.vmLog().acceptedTooLate(attempt, machineIdOf(attempt));
             machines.poolOf(attempt).terminate(attempt, loop.now());
             return;
           }
-          requestLog.vms().accepted(attempt, machineIdOf(attempt), loop.clock());
+          requestLog.vmLog().accepted(attempt, machineIdOf(attempt), loop.clock());
           inputs.scheduler.attemptAccepted(attempt);
-          requests.accepted(attempt.vm);
-          clients.accept(attempt.vm, description);
+          requests.requestAccepted(attempt.vm);
+          clients.sendAccepted(attempt.vm, description);
         });
   }
 
   @Override
   public void attemptEnded(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
-    loop.enterBehind(
+    loop.enqueue(
         () -> {
           if (!attempt.isInFlight()) {
             return;
           }
           Vm vm = attempt.vm;
           boolean wasAccepted = attempt.acceptedAt != null;
-          count(outcome);
+          countOutcome(outcome);
           if (!wasAccepted) {
-            logEnd(attempt, outcome, reason);
+            logAttemptEnded(attempt, outcome, reason);
           }
           inputs.scheduler.attemptEnded(attempt, outcome, reason, wasAccepted || vm.isFinished);
           if (wasAccepted && requests.find(vm.id) == vm) {
-            // A client that has ended its VM itself is owed nothing more, and nothing is sent.
-            String notice = clients.notifyTerminated(vm, outcome, loop.now());
-            logEndOfVm(attempt, outcome, reason, notice);
+            // No notice is sent to a client that has ended its VM itself.
+            String noticeStatus = clients.notifyTerminated(vm, outcome, loop.now());
+            logVmTerminated(attempt, outcome, reason, noticeStatus);
           } else if (wasAccepted) {
-            logEndOfVm(attempt, outcome, reason, "not owed, its id is another's");
+            logVmTerminated(attempt, outcome, reason, "not needed, its id belongs to another VM");
           }
-          requests.forgetIfOver(vm);
+          requests.removeIfFinished(vm);
         });
   }
 
   @Override
   public void unknownVmEnded(VmTermination termination, Machine machine) {
-    requestLog.vms().unknownEnded(termination, machines.handleOf(machine).id());
-    loop.enterBehind(
+    requestLog.vmLog().unknownVmEnded(termination, machines.handleOf(machine).id());
+    loop.enqueue(
         () -> {
           Vm vm = requests.find(termination.vmId());
-          boolean ranUnanswered = vm != null && hasLostAttempt(vm, machine);
+          boolean wasLostUnanswered = vm != null && hasAttemptLostWithConnection(vm, machine);
           inputs.scheduler.endConfirmed(termination.vmId(), machine);
-          if (ranUnanswered && pendingResponses.isAwaitingResponse(vm.id)) {
-            // It ran after all, and is over: what was done since to place it again is taken back.
-            failOver(vm);
+          if (wasLostUnanswered && pendingResponses.isAwaitingResponse(vm.id)) {
+            // The VM did run and has ended: the attempts made since to place it again are
+            // cancelled.
+            failAndAbandon(vm);
           }
         });
   }
 
   /**
-   * Whether an attempt on the machine ended with its connection, and without the machine's word.
+   * Whether an attempt on the machine ended as its connection was lost, not confirmed by the
+   * machine.
    */
-  private static boolean hasLostAttempt(Vm vm, Machine machine) {
+  private static boolean hasAttemptLostWithConnection(Vm vm, Machine machine) {
     return vm.attempts.stream()
         .anyMatch(
             attempt ->
@@ -131,81 +133,83 @@
                     && attempt.mayStillRun);
   }
 
-  /** The VM has run and is over: its request fails, and nothing more is sent for it. */
-  private void failOver(Vm vm) {
+  /** Fails the request of a VM that has run and ended, and cancels its other attempts. */
+  private void failAndAbandon(Vm vm) {
     requestLog.failed(vm, loop.clock());
-    clients.fail(vm);
+    clients.sendFailed(vm);
     requests.abandon(vm, machines);
   }
 
   @Override
   public void unknownVmAccepted(String vmId, Machine machine) {
-    requestLog.vms().unknownAccepted(vmId, machines.handleOf(machine).id());
+    requestLog.vmLog().unknownVmAccepted(vmId, machines.handleOf(machine).id());
   }
 
   @Override
   public void attemptEndedUnanswered(
       PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
-    loop.enterBehind(
+    loop.enqueue(
         () -> {
           if (!attempt.isInFlight()) {
             return;
           }
           Vm vm = attempt.vm;
-          count(outcome);
-          logEnd(attempt, outcome, reason);
-          requestLog.vms().endedUnanswered(attempt, machineIdOf(attempt), outcome, reason);
+          countOutcome(outcome);
+          logAttemptEnded(attempt, outcome, reason);
+          requestLog.vmLog().endedUnanswered(attempt, machineIdOf(attempt), outcome, reason);
           inputs.scheduler.attemptEnded(attempt, outcome, reason, true);
           if (pendingResponses.isAwaitingResponse(vm.id)) {
-            failOver(vm);
+            failAndAbandon(vm);
           } else {
-            requests.forgetIfOver(vm);
+            requests.removeIfFinished(vm);
           }
         });
   }
 
   @Override
-  public void attemptWithdrawn(PlacementAttempt attempt, boolean hasGoneOut) {
-    requestLog.vms().withdrawn(attempt, machineIdOf(attempt), hasGoneOut);
+  public void attemptWithdrawn(PlacementAttempt attempt, boolean isFlushed) {
+    requestLog.vmLog().withdrawn(attempt, machineIdOf(attempt), isFlushed);
   }
 
   @Override
   public void releaseSent(String vmId, Machine machine) {
-    requestLog.vms().releaseSent(vmId, machines.handleOf(machine).id());
+    requestLog.vmLog().releaseSent(vmId, machines.handleOf(machine).id());
   }
 
   @Override
   public void releaseSettled(String vmId, Machine machine) {
-    requestLog.vms().releaseSettled(vmId, machines.handleOf(machine).id());
-    loop.enterBehind(() -> inputs.scheduler.endConfirmed(vmId, machine));
+    requestLog.vmLog().releaseSettled(vmId, machines.handleOf(machine).id());
+    loop.enqueue(() -> inputs.scheduler.endConfirmed(vmId, machine));
   }
 
   @Override
   public void machineFailed(Machine machine, MachineFailure failure, int runningVms) {
-    requestLog.vms().machineFailed(machines.handleOf(machine).id(), failure, runningVms);
+    requestLog.vmLog().machineFailed(machines.handleOf(machine).id(), failure, runningVms);
   }
 
   private String machineIdOf(PlacementAttempt attempt) {
     return machines.handleOf(attempt.machine).id();
   }
 
-  private void logEnd(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
+  private void logAttemptEnded(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
     requestLog.attemptEnded(attempt, machineIdOf(attempt), outcome, reason, loop.clock());
   }
 
-  private void logEndOfVm(
-      PlacementAttempt attempt, Outcome outcome, OutcomeReason reason, String notified) {
-    requestLog.vms().ended(attempt, machineIdOf(attempt), outcome, reason, "notice " + notified);
+  private void logVmTerminated(
+      PlacementAttempt attempt, Outcome outcome, OutcomeReason reason, String noticeStatus) {
+    requestLog
+        .vmLog()
+        .ended(attempt, machineIdOf(attempt), outcome, reason, "notice " + noticeStatus);
   }
 
-  private void count(Outcome outcome) {
+  private void countOutcome(Outcome outcome) {
     outcomeCounts.merge(outcome, 1L, Long::sum);
   }
 
   @Override
   public void probeCompleted(
       Machine machine, boolean healthy, boolean withLoadReport, Duration roundTrip) {
-    loop.enterBehind(
+    loop.enqueue(
         () -> {
           if (healthy) {
             passedProbes++;
@@ -216,7 +220,7 @@
         });
   }
 
-  /** How many attempts had each outcome since the start. */
+  /** The number of attempts per outcome since the start. */
   Map<Outcome, Long> outcomeCounts() {
     return outcomeCounts;
   }
--- a/src/main/java/fordridge/server/json/BoundedLog.java
+++ b/src/main/java/fordridge/server/json/BoundedLog.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * Bounds the lines of each kind of event in a reporting period, so that a flood of one kind neither
- * fills the log nor hides the others, and counts all events. Confined to one thread.
+ * Limits the lines per event in a reporting period, so that a flood of one event neither fills the
+ * log nor hides the others. Counts the lines that are suppressed. Confined to one thread.
  */
 final class BoundedLog {
   static final int MAX_LINES_PER_EVENT = 60;
@@ -19,7 +19,7 @@
     this.log = log;
   }
 
-  /** Logs {@code event: details}, unless the event was logged too often in this period. */
+  /** Logs {@code event: details}, unless the event has reached its limit in this period. */
   void write(String event, String details) {
     if (linesInPeriod.merge(event, 1, Integer::sum) <= MAX_LINES_PER_EVENT) {
       log.accept(event + ": " + details);
@@ -28,12 +28,12 @@
     }
   }
 
-  /** Lines that were left out since the start. */
+  /** The number of lines suppressed since the start. */
   long suppressedLines() {
     return suppressedLines;
   }
 
-  /** From now on each event may be logged anew. */
+  /** Starts a new reporting period, in which no event has been logged yet. */
   void startPeriod() {
     linesInPeriod.clear();
   }
--- a/src/main/java/fordridge/server/json/ClassArchiveTraining.java
+++ b/src/main/java/fordridge/server/json/ClassArchiveTraining.java
@@ -18,9 +18,9 @@
 
 /**
  * The training run for the class archive (class data sharing): serves some requests on loopback,
- * with an emulated machine and an emulated server of the machine list. The build does so once, for
- * the JVM to record the classes that serving needs: read from the archive, they cost a starting
- * scheduler less of its part of a core.
+ * with an emulated machine and an emulated machine list server. The build runs it once so that the
+ * JVM records the classes that serving needs. Loading them from the archive takes less CPU time,
+ * which matters to a scheduler that starts with a fraction of a core.
  */
 public final class ClassArchiveTraining {
   private static final int REQUESTS = 40;
@@ -30,7 +30,7 @@
   private static final int MACHINE_LIST_POSITION = 7;
   private static final Pattern ID = Pattern.compile("\"ref\":\"([0-9a-f]+)\"");
 
-  /** How an emulated peer answers a line. */
+  /** Answers a line as an emulated peer. */
   private interface LineHandler {
     void lineReceived(String line, OutputStream out) throws IOException;
   }
@@ -65,7 +65,7 @@
       command.reload();
       command.stop();
       if (!command.awaitStopped(SHUTDOWN_TIMEOUT)) {
-        err.println("class archive training: no end within " + SHUTDOWN_TIMEOUT);
+        err.println("class archive training: shutdown did not complete within " + SHUTDOWN_TIMEOUT);
       }
       err.println("class archive training: " + accepted + " of " + REQUESTS + " requests accepted");
       return accepted == REQUESTS ? 0 : 1;
@@ -81,7 +81,7 @@
               startDaemon(() -> readLines(socket, handler, err));
             }
           } catch (SocketException e) {
-            // The training is over: its sockets are closed.
+            // The server socket was closed at the end of the training run.
           } catch (IOException e) {
             err.println("class archive training: " + e);
           }
@@ -101,7 +101,7 @@
         handler.lineReceived(line, socket.getOutputStream());
       }
     } catch (SocketException e) {
-      // The scheduler has ended before its peer.
+      // The scheduler has closed the connection.
     } catch (IOException e) {
       err.println("class archive training: " + e);
     }
@@ -117,7 +117,9 @@
     out.flush();
   }
 
-  /** Accepts each VM, reports on it and ends it; answers health checks with a load report. */
+  /**
+   * Accepts each VM, reports its core usage and ends it; answers health checks with a load report.
+   */
   private static void answerAsMachine(String line, OutputStream out) throws IOException {
     Matcher matcher = ID.matcher(line);
     if (!matcher.find()) {
@@ -136,11 +138,19 @@
     }
   }
 
-  private static String message(String type, String id, String fields, String more) {
-    return "{\"t\":\"" + type + "\",\"ref\":\"" + id + "\",\"f\":{" + fields + "}" + more + "}\n";
+  private static String message(String type, String id, String fields, String topLevelFields) {
+    return "{\"t\":\""
+        + type
+        + "\",\"ref\":\""
+        + id
+        + "\",\"f\":{"
+        + fields
+        + "}"
+        + topLevelFields
+        + "}\n";
   }
 
-  /** Requests one VM after the other as a client; the result is how many were accepted. */
+  /** Requests VMs one after another as a client, and returns how many were accepted. */
   private static int requestAll(int port) throws IOException {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         BufferedReader in = reader(socket)) {
--- a/src/main/java/fordridge/server/json/ClientRequestIntake.java
+++ b/src/main/java/fordridge/server/json/ClientRequestIntake.java
@@ -17,15 +17,18 @@
 import java.util.function.Consumer;
 
 /**
- * Takes in what clients request: validates it, bounds what is pending, and enters it as inputs of
- * the scheduler. Confined to the event loop.
+ * Handles clients' requests: validates them, limits the number that is pending, and submits them as
+ * inputs of the scheduler. Confined to the event loop.
  */
 final class ClientRequestIntake implements ClientRequestHandler {
-  /** How many invalid requests are logged; a flood must not fill the log. */
+  /** How many invalid requests are logged at most; a flood must not fill the log. */
   private static final int MAX_LOGGED_INVALID_REQUESTS = 20;
 
-  /** After a start clients hand over all that they have running; later ones are logged. */
-  private static final Duration HANDOVERS_EXPECTED_FOR = Duration.ofSeconds(2);
+  /**
+   * Clients hand over all their running VMs within this time after a start; handovers after it are
+   * logged as late.
+   */
+  private static final Duration HANDOVER_WINDOW = Duration.ofSeconds(2);
 
   private final SchedulerEventLoop loop;
   private final SchedulerInputs<String> inputs;
@@ -39,8 +42,8 @@
   private Duration machineFailureTimeout;
   private boolean isReady;
 
-  /** Handovers after this are logged. */
-  private Duration handoversExpectedUntil = Duration.ZERO;
+  /** Handovers after this time are logged as late. */
+  private Duration handoverWindowEndsAt = Duration.ZERO;
 
   private long invalidRequestCount;
 
@@ -65,16 +68,16 @@
     machineFailureTimeout = settings.timeouts().failureTimeout();
   }
 
-  /** Other settings hold from the next request on. */
+  /** Replaces the settings, from the next request on. */
   void setSettings(ServerSettings settings) {
     validator.setSettings(settings);
     machineFailureTimeout = settings.timeouts().failureTimeout();
   }
 
-  /** The scheduler has started. */
+  /** Called once the scheduler has started; the handover window begins. */
   void markReady() {
     isReady = true;
-    handoversExpectedUntil = loop.clock().plus(HANDOVERS_EXPECTED_FOR);
+    handoverWindowEndsAt = loop.clock().plus(HANDOVER_WINDOW);
   }
 
   @Override
@@ -89,7 +92,7 @@
 
   @Override
   public void placementRequested(ClientConnection connection, ClientRequest request) {
-    loop.enter(
+    loop.submit(
         InputKind.CLIENT_REQUEST,
         () -> {
           try {
@@ -102,11 +105,11 @@
 
   private void receive(ClientConnection connection, ClientRequest request)
       throws InvalidRequestException {
-    Duration unread = loop.lag(loop.now()).plus(connection.unreadFor());
-    Vm vm = validator.validate(request, loop.now(), unread);
-    String runningAt = request.extra("at");
-    if (runningAt != null) {
-      adopt(connection, vm, runningAt);
+    Duration maxReadDelay = loop.lag(loop.now()).plus(connection.unreadFor());
+    Vm vm = validator.validate(request, loop.now(), maxReadDelay);
+    String machineId = request.extra("at");
+    if (machineId != null) {
+      adopt(connection, vm, machineId);
       return;
     }
     switch (pendingResponses.requestReceived(vm.id, connection)) {
@@ -116,42 +119,48 @@
         requestLog.overCapacity(vm);
         connection.sendRejected(vm.id, Duration.ZERO);
       }
-      case ADMITTED -> place(vm, request);
+      case ADMITTED -> admit(vm, request);
     }
   }
 
-  private void place(Vm vm, ClientRequest request) {
+  private void admit(Vm vm, ClientRequest request) {
     clients.sendDeferredNotices(loop.now());
     requests.add(
         vm, new RequestPayload(request.key(), request.idempotencyKey(), request.description()));
     Duration timeLeft = vm.deadline.minus(loop.now());
-    loop.enterAfter(
+    loop.submitAfter(
         timeLeft.plus(RequestValidator.RESPONSE_MARGIN.dividedBy(2)),
         InputKind.RESPONSE_DEADLINE,
         () -> failIfPending(vm));
     inputs.scheduler.vmRequested(vm);
   }
 
-  /** Should the scheduler have failed on an input, its clients get a response all the same. */
+  /**
+   * Fails a request that is still pending after its deadline: its client gets a response even where
+   * the scheduler has failed on an input.
+   */
   private void failIfPending(Vm vm) {
     if (pendingResponses.isAwaitingResponse(vm.id)) {
-      log.accept("no decision in time: " + vm.id);
+      log.accept("no decision before the deadline: " + vm.id);
       requestLog.failed(vm, loop.clock());
-      clients.fail(vm);
-      // After its response nothing more is sent for it, whatever the scheduler would do.
+      clients.sendFailed(vm);
+      // No offer may be sent for the VM after its response, whatever the scheduler decides later.
       requests.abandon(vm, machines);
     }
   }
 
-  /** Fails every pending request, whatever its attempts are doing. */
+  /** Fails every pending request, whatever the state of its attempts. */
   void failPendingRequests() {
     fail(pendingResponses.pendingRequestIds());
   }
 
-  /** What was received before is answered: it has been read, and its attempts may have run. */
+  /**
+   * Fails the pending requests of the connection: they were read before the malformed input, and
+   * their attempts may have run.
+   */
   @Override
   public void malformedInputReceived(ClientConnection connection) {
-    loop.enter(
+    loop.submit(
         InputKind.CLIENT_REQUEST, () -> fail(pendingResponses.pendingRequestsOf(connection)));
   }
 
@@ -159,34 +168,34 @@
     for (String vmId : vmIds) {
       Vm vm = requests.find(vmId);
       requestLog.failed(vm, loop.clock());
-      clients.fail(vm);
+      clients.sendFailed(vm);
       requests.abandon(vm, machines);
     }
   }
 
-  /** A client reports a VM that runs already, placed by an earlier scheduler. */
+  /** Handles the handover of a running VM that an earlier scheduler has placed. */
   private void adopt(ClientConnection connection, Vm vm, String machineId) {
-    Vm known = requests.find(vm.id);
+    Vm previous = requests.find(vm.id);
     RequestLog.Handover result = registerHandover(connection, vm, machineId);
     requestLog.handoverReceived(vm, machineId, result);
-    boolean isLate = loop.now().compareTo(handoversExpectedUntil) > 0;
-    requestLog.vms().handedOver(vm.id, machineId, result.name(), isLate, connection.remotePort());
+    boolean isLate = loop.now().compareTo(handoverWindowEndsAt) > 0;
+    requestLog.vmLog().handedOver(vm.id, machineId, result.name(), isLate, connection.remotePort());
     if (result != RequestLog.Handover.ADOPTED) {
       return;
     }
     clients.sendDeferredNotices(loop.now());
     MachineHandle handle = machines.findOrAdd(machineId);
-    if (known != null) {
-      requests.supersede(known, handle, machines);
+    if (previous != null) {
+      requests.supersede(previous, handle, machines);
     }
     requests.addRunning(vm);
     Machine machine = handle.machine();
     inputs.scheduler.vmAdopted(vm, machine);
     handle.pool().adopt(vm.acceptedAttempt, loop.now());
     if (!machine.isListed || machine.lifecycle == Machine.Lifecycle.GONE) {
-      // The list may name it yet.
-      loop.enterAfter(
-          machineFailureTimeout, InputKind.ADOPTION_CHECK, () -> loseIfMachineGone(vm, handle));
+      // The machine may still be listed.
+      loop.submitAfter(
+          machineFailureTimeout, InputKind.ADOPTION_CHECK, () -> markLostIfMachineGone(vm, handle));
     }
   }
 
@@ -200,15 +209,16 @@
       case REBOUND -> RequestLog.Handover.REBOUND;
       case PENDING_HERE -> RequestLog.Handover.PENDING_HERE;
       case PENDING_ELSEWHERE -> {
-        // Its client has left that connection: it would not claim the VM while it waits for it.
-        clients.fail(vm);
+        // The client has left the connection of the pending request: it would not hand the VM over
+        // while it still waits for a response.
+        clients.sendFailed(vm);
         pendingResponses.adoptRunning(vm.id, connection);
         yield RequestLog.Handover.ADOPTED;
       }
     };
   }
 
-  private void loseIfMachineGone(Vm vm, MachineHandle handle) {
+  private void markLostIfMachineGone(Vm vm, MachineHandle handle) {
     if (handle.machine().lifecycle == Machine.Lifecycle.GONE && vm.acceptedAttempt.isInFlight()) {
       handle.pool().machineListed(Machine.Lifecycle.GONE, loop.now());
       handle.pool().vmLost(vm.id);
@@ -216,8 +226,8 @@
   }
 
   /**
-   * Fails the request and all that are pending on its connection, and reads no more from it: a
-   * client that does not keep to the protocol can't be understood further.
+   * Fails the request and all others that are pending on its connection, and stops reading from it:
+   * the further input of a client that violates the protocol can't be relied on.
    */
   private void reject(ClientConnection connection, String vmId, InvalidRequestException reason) {
     if (invalidRequestCount++ < MAX_LOGGED_INVALID_REQUESTS) {
@@ -232,7 +242,7 @@
 
   @Override
   public void terminationRequested(ClientConnection connection, String vmId) {
-    loop.enter(
+    loop.submit(
         InputKind.CLIENT_TERMINATION,
         () -> {
           Vm vm = requests.find(vmId);
@@ -245,7 +255,7 @@
             return;
           }
           PlacementAttempt running = vm.acceptedAttempt;
-          requestLog.vms().endedByClient(running, machines.handleOf(running.machine).id());
+          requestLog.vmLog().endedByClient(running, machines.handleOf(running.machine).id());
           connection.sendTerminationAccepted(vmId);
           machines.poolOf(running).terminate(running, loop.now());
         });
@@ -253,18 +263,18 @@
 
   @Override
   public void terminationAcknowledged(ClientConnection connection, String vmId) {
-    loop.enter(
+    loop.submit(
         InputKind.CLIENT_ACKNOWLEDGEMENT,
         () -> {
           if (pendingResponses.noticeAcknowledged(vmId, connection)) {
-            requestLog.vms().noticeAcknowledged(vmId, connection.remotePort());
+            requestLog.vmLog().noticeAcknowledged(vmId, connection.remotePort());
           }
         });
   }
 
   @Override
   public void connectionClosed(ClientConnection connection) {
-    loop.enter(
+    loop.submit(
         InputKind.CLIENT_CLOSED,
         () -> {
           int runningVms = pendingResponses.runningVmsOf(connection);
--- a/src/main/java/fordridge/server/json/ClientResponder.java
+++ b/src/main/java/fordridge/server/json/ClientResponder.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 
 /**
- * Sends each response and termination notice on the connection that {@link PendingResponses} names
- * for it. Confined to the event loop.
+ * Sends each response and termination notice on the connection that {@link PendingResponses}
+ * selects for it. Confined to the event loop.
  */
 final class ClientResponder {
   private final PendingResponses<ClientConnection> pending;
@@ -23,41 +23,51 @@
     this.log = log;
   }
 
-  void accept(Vm vm, String description) {
+  void sendAccepted(Vm vm, String description) {
     Optional<ClientConnection> client = pending.takeAccepted(vm.id);
     if (client.isPresent()) {
       client.get().sendAccepted(vm.id, description);
     }
   }
 
-  /** Rejects the request; it may be repeated after {@code retryAfter}, zero: no advice. */
-  void reject(Vm vm, Duration retryAfter) {
+  /** Rejects the request; {@code retryAfter} tells the client when to retry, unless it is zero. */
+  void sendRejected(Vm vm, Duration retryAfter) {
     Optional<ClientConnection> client = pending.takeDeclined(vm.id);
     if (client.isPresent()) {
       client.get().sendRejected(vm.id, retryAfter);
     }
   }
 
-  /** Fails the request, without a promise on whether the VM ran. */
-  void fail(Vm vm) {
+  /** Fails the request; the VM may have run. */
+  void sendFailed(Vm vm) {
     Optional<ClientConnection> client = pending.takeDeclined(vm.id);
     if (client.isPresent()) {
       client.get().sendTerminated(vm.id, TerminationCause.FAILED);
     }
   }
 
-  /** A running VM is over. What became of its notice, for the log. */
+  /**
+   * Sends the termination notice of a running VM that has ended. Returns what happened to the
+   * notice, for the log.
+   */
   String notifyTerminated(Vm vm, Outcome outcome, Duration now) {
-    boolean isOwn = pending.hasOwnConnection(vm.id);
+    boolean hasOwnConnection = pending.hasOwnConnection(vm.id);
     Optional<ClientConnection> client = pending.vmTerminated(vm.id, outcome, now);
     if (client.isEmpty()) {
-      return pending.isNoticeUndelivered(vm.id) ? "waits for a connection" : "not owed";
+      return pending.isNoticeUndelivered(vm.id)
+          ? "deferred, no connection available"
+          : "not needed";
     }
     client.get().sendTerminated(vm.id, causeOf(outcome));
-    return "sent to " + client.get().remotePort() + (isOwn ? "" : ", not its own connection");
+    return "sent to "
+        + client.get().remotePort()
+        + (hasOwnConnection ? "" : ", on another connection");
   }
 
-  /** A running VM is being stopped for its client to request it anew; needs no acknowledgement. */
+  /**
+   * Notifies the client of a running VM that the VM is being stopped and has to be requested again.
+   * The notice needs no acknowledgement.
+   */
   void notifyMigrated(Vm vm, Duration now) {
     Optional<ClientConnection> client = pending.vmTerminated(vm.id, Outcome.RESET, now);
     if (client.isPresent()) {
@@ -67,16 +77,16 @@
     }
   }
 
-  /** Sends the notices that have waited for a connection, if one is open now. */
+  /** Sends the deferred notices, if a connection is open now. */
   void sendDeferredNotices(Duration now) {
     expireNotices(now);
     for (AddressedNotice<ClientConnection> due : pending.takeDeferredNotices(now)) {
-      log.noticeSentLate(due.notice(), due.connection().remotePort());
+      log.deferredNoticeSent(due.notice(), due.connection().remotePort());
       due.connection().sendTerminated(due.notice().vmId(), causeOf(due.notice().outcome()));
     }
   }
 
-  /** Sends the notices again that were not acknowledged in time, on other connections. */
+  /** Resends the notices that were not acknowledged in time, on other connections. */
   void resendOverdueNotices(Duration now) {
     for (AddressedNotice<ClientConnection> due : pending.takeOverdueNotices(now)) {
       log.noticeResent(due.notice(), due.connection().remotePort());
@@ -84,10 +94,10 @@
     }
   }
 
-  /** Drops the notices that are no longer worth sending. */
+  /** Drops the notices that have expired. */
   void expireNotices(Duration now) {
     for (TerminationNotice expired : pending.expireNotices(now)) {
-      log.noticeDropped(expired, "not acknowledged in its time");
+      log.noticeDropped(expired, "expired without an acknowledgement");
     }
   }
 
--- a/src/main/java/fordridge/server/json/GracefulShutdown.java
+++ b/src/main/java/fordridge/server/json/GracefulShutdown.java
@@ -7,79 +7,92 @@
 import java.util.function.Consumer;
 
 /**
- * Ends a server within the time between SIGTERM and SIGKILL. For as long as it can, all goes on as
- * before: pending requests may still find capacity, and running VMs may end. Then nothing more is
- * placed, and the end comes once all is answered. Confined to the event loop.
+ * Shuts a server down within the time between SIGTERM and SIGKILL. The server serves as before for
+ * as long as it can, since pending requests may still find capacity and running VMs may end. Then
+ * it stops placing VMs, and the shutdown completes once all requests are answered. Confined to the
+ * event loop.
  */
 final class GracefulShutdown {
   /**
-   * The platform sends SIGKILL no sooner than this after SIGTERM, or than the longest start
-   * deadline if that is shorter, plus a grace period.
+   * The platform sends SIGKILL no sooner after SIGTERM than this, or the longest start deadline if
+   * that is shorter, plus {@link #KILL_GRACE_PERIOD}.
    */
-  private static final Duration KILL_DELAY = Duration.ofSeconds(3);
+  private static final Duration MAX_KILL_DELAY = Duration.ofSeconds(3);
 
   private static final Duration KILL_GRACE_PERIOD = Duration.ofMillis(700);
 
-  /** The last part of that time is kept for the responses to what is pending then. */
-  private static final Duration FINAL_RESPONSES_TIME = Duration.ofMillis(900);
+  /**
+   * The last part of the time before SIGKILL, in which nothing is placed and pending requests are
+   * answered.
+   */
+  private static final Duration RESPONSE_PHASE_TIME = Duration.ofMillis(900);
 
   /**
-   * The responses to what is pending so long before SIGKILL don't wait for machines any more: a
-   * machine may hang through the whole of a shutdown.
+   * Requests that are still pending this long before SIGKILL fail without waiting for machines: a
+   * machine may hang for the whole shutdown.
    */
-  private static final Duration LAST_RESPONSES_TIME = Duration.ofMillis(450);
+  private static final Duration FORCED_RESPONSE_MARGIN = Duration.ofMillis(450);
 
-  /** Between the end of the output to clients and the close: they have seen it by then. */
+  /**
+   * From the end of the output to clients to the close of their connections: time for them to read
+   * the end of the output.
+   */
   private static final Duration CLOSE_DELAY = Duration.ofMillis(150);
 
-  /** Clients go on sending requests for 0.6 s after SIGTERM, however short their deadlines. */
+  /**
+   * Exceeds the 0.6 s for which clients continue to send requests after SIGTERM, however short
+   * their deadlines are.
+   */
   private static final Duration MIN_SERVING_TIME = Duration.ofMillis(650);
 
-  /** How long output, notices and releases that peers don't take in delay the end. */
-  private static final Duration MAX_LINGER = Duration.ofMillis(400);
+  /**
+   * How long unread output, unacknowledged notices and unconfirmed releases may delay the
+   * completion, from the end of the serving time.
+   */
+  private static final Duration MAX_LINGER_TIME = Duration.ofMillis(400);
 
   private static final Duration CHECK_INTERVAL = Duration.ofMillis(20);
 
   private final EventLoopTimers timers;
   private final JsonSchedulerServer server;
   private final ClientServer clients;
-  private final long signalNanos;
+  private final long signalReceivedNanos;
   private final Duration servingTime;
-  private final Duration lastResponsesAt;
+  private final Duration forcedResponsesAfter;
   private final Consumer<String> log;
   private final Runnable onComplete;
   private boolean isCompleted;
 
   /**
-   * Creates a shutdown.
+   * Creates a shutdown that is not started yet.
    *
-   * @param signalNanos when the signal came, by {@link System#nanoTime}
-   * @param onComplete what is run once the process may end
+   * @param signalReceivedNanos when the signal was received, by {@link System#nanoTime}
+   * @param onComplete runs once the process may exit
    */
   GracefulShutdown(
       EventLoopTimers timers,
       JsonSchedulerServer server,
       ClientServer clients,
-      long signalNanos,
+      long signalReceivedNanos,
       Consumer<String> log,
       Runnable onComplete) {
     this.timers = timers;
     this.server = server;
     this.clients = clients;
-    this.signalNanos = signalNanos;
+    this.signalReceivedNanos = signalReceivedNanos;
     this.log = log;
     this.onComplete = onComplete;
     Duration untilKill =
-        Durations.min(server.maxStartDeadline(), KILL_DELAY).plus(KILL_GRACE_PERIOD);
-    servingTime = Durations.max(untilKill.minus(FINAL_RESPONSES_TIME), MIN_SERVING_TIME);
-    lastResponsesAt = Durations.max(untilKill.minus(LAST_RESPONSES_TIME), servingTime);
+        Durations.min(server.maxStartDeadline(), MAX_KILL_DELAY).plus(KILL_GRACE_PERIOD);
+    servingTime = Durations.max(untilKill.minus(RESPONSE_PHASE_TIME), MIN_SERVING_TIME);
+    forcedResponsesAfter = Durations.max(untilKill.minus(FORCED_RESPONSE_MARGIN), servingTime);
   }
 
   void start() {
     timers.runAfter(
         servingTime.minus(sinceSignal()),
         () -> {
-          log.accept(describe("placing nothing more"));
+          log.accept(withProgress("placement stopped"));
           server.startShutdown();
           timers.runEvery(CHECK_INTERVAL, this::checkComplete);
         });
@@ -89,8 +102,8 @@
     if (isCompleted) {
       return;
     }
-    if (sinceSignal().compareTo(lastResponsesAt) >= 0 && server.pendingRequestCount() > 0) {
-      log.accept(describe("failing what is pending"));
+    if (sinceSignal().compareTo(forcedResponsesAfter) >= 0 && server.pendingRequestCount() > 0) {
+      log.accept(withProgress("failing pending requests"));
       server.failPendingRequests();
     }
     if (server.pendingRequestCount() == 0 && !isLingering()) {
@@ -102,23 +115,27 @@
   private void finish() {
     server.stopListeningToMachines();
     clients.finishOutput();
-    log.accept(describe("shutdown complete"));
+    log.accept(withProgress("shutdown complete"));
     timers.runAfter(CLOSE_DELAY, onComplete);
   }
 
   private boolean isLingering() {
-    return sinceSignal().compareTo(servingTime.plus(MAX_LINGER)) < 0
-        && sinceSignal().compareTo(lastResponsesAt) < 0
+    return sinceSignal().compareTo(servingTime.plus(MAX_LINGER_TIME)) < 0
+        && sinceSignal().compareTo(forcedResponsesAfter) < 0
         && (server.undeliveredNoticeCount() > 0
             || server.hasUnsettledAttempts()
             || clients.hasPendingOutput());
   }
 
-  private String describe(String step) {
-    return step + " after " + sinceSignal().toMillis() + " ms; owed: " + server.owed();
+  private String withProgress(String step) {
+    return step
+        + " after "
+        + sinceSignal().toMillis()
+        + " ms; outstanding: "
+        + server.describeOutstanding();
   }
 
   private Duration sinceSignal() {
-    return Duration.ofNanos(System.nanoTime() - signalNanos);
+    return Duration.ofNanos(System.nanoTime() - signalReceivedNanos);
   }
 }
--- a/src/main/java/fordridge/server/json/InvalidRequestException.java
+++ b/src/main/java/fordridge/server/json/InvalidRequestException.java
@@ -1,11 +1,14 @@
 package fordridge.server.json;
 
-/** A client's request that can't be used: which field, its value, and what would be right. */
+/** A client's request is invalid. The message names the field, its value and what is expected. */
 final class InvalidRequestException extends Exception {
   private static final long serialVersionUID = 1L;
   private static final int MAX_QUOTED_CHARS = 64;
 
-  /** Without a stack trace: it is the client's fault, and may come in floods. */
+  /**
+   * Creates an exception without a stack trace: the fault is the client's, and floods of invalid
+   * requests are possible.
+   */
   InvalidRequestException(String path, Object value, String expected) {
     super(path + " is " + quote(value) + ", expected " + expected, null, false, false);
   }
--- a/src/main/java/fordridge/server/json/JsonInputPort.java
+++ b/src/main/java/fordridge/server/json/JsonInputPort.java
@@ -8,8 +8,9 @@
 import java.time.Duration;
 
 /**
- * What the gate of inputs reads on JSON lines: all sockets of the loop, until no client's
- * connection has more and none waits to be accepted. Confined to the event loop.
+ * The input that the {@link InputGate} reads before a decision: all sockets of the event loop,
+ * until no client connection has unread input and none waits to be accepted. Confined to the event
+ * loop.
  */
 final class JsonInputPort implements InputGate.Port {
   private final SchedulerEventLoop loop;
@@ -21,7 +22,7 @@
     this.poller = poller;
   }
 
-  /** Whose connections have to be read to their end. */
+  /** Sets the server whose connections have to be read to their end. */
   void setClients(ClientServer newClients) {
     clients = newClients;
   }
@@ -47,11 +48,11 @@
 
   @Override
   public void refreshTime() {
-    loop.startTimeAnew();
+    loop.refreshTime();
   }
 
   @Override
   public void enter(InputKind kind, Runnable input) {
-    loop.enter(kind, input);
+    loop.submit(kind, input);
   }
 }
--- a/src/main/java/fordridge/server/json/JsonSchedulerActions.java
+++ b/src/main/java/fordridge/server/json/JsonSchedulerActions.java
@@ -14,9 +14,9 @@
 import java.util.function.Consumer;
 
 /**
- * Carries out what the scheduler decides, on the connections to clients and machines. It is called
- * from within an input; what may lead to another input is entered behind it. Confined to the event
- * loop.
+ * Carries out the scheduler's decisions on the connections to clients and machines. Called while an
+ * input runs; an action that may cause another input is queued to run after it. Confined to the
+ * event loop.
  */
 final class JsonSchedulerActions implements SchedulerActions {
   private final SchedulerEventLoop loop;
@@ -44,14 +44,17 @@
     this.log = log;
   }
 
-  /** To be called once before the scheduler starts, which needs the actions to be made. */
+  /**
+   * Sets the parts that are created after these actions, as the scheduler needs the actions to be
+   * created. To be called once, before the scheduler starts.
+   */
   void attach(SchedulerInputs<String> inputs, MachineRegistry machines, ActiveRequests requests) {
     this.inputs = inputs;
     this.machines = machines;
     this.requests = requests;
   }
 
-  /** Other settings hold from the next attempt on. */
+  /** Replaces the settings, from the next attempt on. */
   void setSettings(ServerSettings newSettings) {
     settings = newSettings;
   }
@@ -62,14 +65,14 @@
   }
 
   @Override
-  public void sendAttempt(PlacementAttempt attempt, Duration within) {
-    gate.enterWhenRead(InputKind.OFFER, () -> offer(attempt, within));
-    loop.enterBehindReadsAfter(within, InputKind.ATTEMPT_TIMEOUT, () -> attemptTimedOut(attempt));
+  public void sendAttempt(PlacementAttempt attempt, Duration timeout) {
+    gate.enterWhenRead(InputKind.OFFER, () -> offer(attempt, timeout));
+    loop.submitAfterSocketRead(timeout, InputKind.ATTEMPT_TIMEOUT, () -> attemptTimedOut(attempt));
   }
 
-  private void offer(PlacementAttempt attempt, Duration within) {
+  private void offer(PlacementAttempt attempt, Duration timeout) {
     if (attempt.isInFlight()) {
-      Duration timeLeft = within.minus(loop.now().minus(attempt.sentAt));
+      Duration timeLeft = timeout.minus(loop.now().minus(attempt.sentAt));
       boolean isIdempotent = settings.isIdempotent(attempt.vm.priorityClass);
       machines.poolOf(attempt).offer(attempt, timeLeft, isIdempotent, loop.now());
     }
@@ -77,14 +80,14 @@
 
   @Override
   public void cancelAttempt(PlacementAttempt attempt) {
-    loop.enterBehind(() -> cancelIfPending(attempt, Outcome.CANCELLED));
+    loop.enqueue(() -> cancelIfPending(attempt, Outcome.CANCELLED));
   }
 
   private void attemptTimedOut(PlacementAttempt attempt) {
     if (machines.poolOf(attempt).isKnownToRun(attempt)) {
-      // Only its answer is late. Withdrawn, it would end, and be placed again: it is waited for
-      // until its client's deadline.
-      requestLog.vms().answerAwaited(attempt, machines.handleOf(attempt.machine).id());
+      // Only the answer is late. A withdrawal would end the VM and place it again, so the answer is
+      // awaited until the client's deadline.
+      requestLog.vmLog().lateAnswerAwaited(attempt, machines.handleOf(attempt.machine).id());
     } else {
       cancelIfPending(attempt, Outcome.TIMEOUT);
     }
@@ -98,16 +101,16 @@
 
   @Override
   public void reject(Vm vm, Duration retryAfter) {
-    clients.reject(vm, retryAfter);
+    clients.sendRejected(vm, retryAfter);
     requestLog.rejected(vm, loop.clock());
-    requests.forgetIfOver(vm);
+    requests.removeIfFinished(vm);
   }
 
   @Override
   public void fail(Vm vm) {
-    clients.fail(vm);
+    clients.sendFailed(vm);
     requestLog.failed(vm, loop.clock());
-    requests.forgetIfOver(vm);
+    requests.removeIfFinished(vm);
   }
 
   @Override
@@ -119,12 +122,12 @@
 
   @Override
   public void probe(Machine machine) {
-    loop.enterBehind(() -> machines.poolOf(machine).probe(loop.now()));
+    loop.enqueue(() -> machines.poolOf(machine).probe(loop.now()));
   }
 
   @Override
   public void scheduleTimer(Duration delay) {
-    loop.enterAfter(delay, InputKind.SCHEDULER_TIMER, inputs.scheduler::timerFired);
+    loop.submitAfter(delay, InputKind.SCHEDULER_TIMER, inputs.scheduler::timerFired);
   }
 
   @Override
@@ -132,13 +135,13 @@
     log.accept(line);
   }
 
-  /** The list is watched from the start; an empty change confirms it to the scheduler. */
+  /** Confirms the watch to the scheduler by an empty change: the list is watched from the start. */
   @Override
-  public void watchMachineList(boolean on) {
-    loop.enterBehind(() -> inputs.list(false, false, List.of()));
+  public void watchMachineList(boolean enabled) {
+    loop.enqueue(() -> inputs.list(false, false, List.of()));
   }
 
-  /** Nothing to do: the list is pushed here. */
+  /** Does nothing: the watch pushes the machine list. */
   @Override
   public void fetchMachineList() {}
 }
--- a/src/main/java/fordridge/server/json/JsonSchedulerServer.java
+++ b/src/main/java/fordridge/server/json/JsonSchedulerServer.java
@@ -18,21 +18,21 @@
 import java.util.function.Consumer;
 
 /**
- * One scheduler on JSON lines: builds the parts around it, starts them, and passes on changes of
- * the configuration and the shutdown. It decides nothing. All but the construction is to be called
- * on the event loop.
+ * One scheduler with the JSON lines protocol: creates the components around it, starts them, and
+ * passes changes of the configuration and the shutdown on to them. It makes no decisions itself.
+ * All methods but the constructor are to be called on the event loop.
  */
 final class JsonSchedulerServer {
-  /** Pending requests, each with up to a line of description: a bound on memory. */
+  /** Bounds the memory for pending requests, each of which has a description of up to a line. */
   private static final int MAX_PENDING_REQUESTS = 1000;
 
   /**
-   * Termination notices, some hundred bytes each: more than VMs run on a scheduler, as all of them
-   * may end while no client is connected.
+   * Bounds the termination notices, of some hundred bytes each. It exceeds the number of VMs that
+   * run for one scheduler, as all of them may end while no client is connected.
    */
   private static final int MAX_NOTICES = 8000;
 
-  /** How long a termination notice waits for a connection to be sent on. */
+  /** How long an undelivered termination notice is kept. */
   private static final Duration NOTICE_LIFETIME = Duration.ofSeconds(8);
 
   private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
@@ -71,8 +71,8 @@
             MAX_PENDING_REQUESTS,
             MAX_NOTICES,
             NOTICE_LIFETIME,
-            displaced -> requestLog.vms().noticeDropped(displaced, "displaced by later ones"));
-    clients = new ClientResponder(pendingResponses, requestLog.vms());
+            displaced -> requestLog.vmLog().noticeDropped(displaced, "displaced by newer notices"));
+    clients = new ClientResponder(pendingResponses, requestLog.vmLog());
     loop = new SchedulerEventLoop(group.next(), timers, poller, inputStatistics, log);
     inputPort = new JsonInputPort(loop, poller);
     gate = new InputGate(timers, inputPort, this::decide);
@@ -92,22 +92,22 @@
             settings.timeouts(),
             configuration.maxMachineConnections());
     machineList =
-        new MachineListIntake(loop, inputs, machines, startedAtEpochMillis, requestLog.vms());
+        new MachineListIntake(loop, inputs, machines, startedAtEpochMillis, requestLog.vmLog());
     intake =
         new ClientRequestIntake(
             loop, inputs, settings, pendingResponses, clients, requests, machines, log);
     loop.attach(inputs.scheduler);
     actions.attach(inputs, machines, requests);
     outcomes.attach(machines);
-    machines.attach(pendingResponses::isNoticeUndelivered);
+    machines.setNoticeCheck(pendingResponses::isNoticeUndelivered);
   }
 
-  /** Receives what clients request. */
+  /** The handler of clients' requests. */
   ClientRequestHandler clientRequestHandler() {
     return intake;
   }
 
-  /** Receives changes of the machine list. */
+  /** The listener for changes of the machine list. */
   EndpointWatcher.Listener machineListListener() {
     return machineList;
   }
@@ -117,7 +117,7 @@
     clientServer = newClientServer;
     loop.setClients(newClientServer);
     inputPort.setClients(newClientServer);
-    loop.enter(
+    loop.submit(
         InputKind.START,
         () -> inputs.scheduler.start(configuration.seed(), configuration.schedulerSettings()));
     for (MachineListEvent event : configuration.readInitialMachineList()) {
@@ -125,14 +125,14 @@
     }
     machineList.markWatching();
     timers.runEvery(
-        TICK_INTERVAL, () -> loop.enterBehindReadsAfter(Duration.ZERO, InputKind.TICK, this::tick));
+        TICK_INTERVAL, () -> loop.submitAfterSocketRead(Duration.ZERO, InputKind.TICK, this::tick));
     loop.startLagMonitor();
     intake.markReady();
   }
 
-  /** How the machine list is read at once. */
-  void watchMachineList(Runnable readNow) {
-    loop.watchMachineList(readNow);
+  /** Sets the task that reads the watch of the machine list at once. */
+  void setMachineListReader(Runnable readNow) {
+    loop.setMachineListReader(readNow);
   }
 
   private void decide() {
@@ -145,7 +145,7 @@
     clients.resendOverdueNotices(loop.now());
   }
 
-  /** Another configuration holds for all that comes from here on. */
+  /** Applies another configuration to all that follows. */
   void reconfigure(ServerConfiguration next) {
     machines.setMaxConnections(next.maxMachineConnections());
     if (!next.hasSameSettings(configuration)) {
@@ -153,31 +153,31 @@
       intake.setSettings(settings);
       actions.setSettings(settings);
       machines.setTimeouts(settings.timeouts());
-      loop.enter(
+      loop.submit(
           InputKind.SETTINGS, () -> inputs.scheduler.settingsChanged(next.schedulerSettings()));
     }
     configuration = next;
   }
 
   /**
-   * Places nothing more from here on: pending requests are answered at once, or with the outcome of
-   * their attempt in flight.
+   * Stops placing VMs: pending requests are answered at once, or with the outcome of their attempt
+   * in flight.
    */
   void startShutdown() {
-    loop.enter(InputKind.SHUTDOWN, inputs.scheduler::shutdownStarted);
+    loop.submit(InputKind.SHUTDOWN, inputs.scheduler::shutdownStarted);
   }
 
-  /** Fails all pending requests at once; their attempts are cancelled. */
+  /** Fails all pending requests at once and cancels their attempts. */
   void failPendingRequests() {
-    loop.enter(InputKind.SHUTDOWN, intake::failPendingRequests);
+    loop.submit(InputKind.SHUTDOWN, intake::failPendingRequests);
   }
 
-  /** Takes in no more termination notices of machines. */
+  /** Ignores termination notices of machines from now on. */
   void stopListeningToMachines() {
     machines.stopListening();
   }
 
-  /** How long clients wait for a start at the most. */
+  /** The longest time for which a client waits for a VM to start. */
   Duration maxStartDeadline() {
     return configuration.serverSettings().maxStartDeadline();
   }
@@ -190,37 +190,37 @@
     return pendingResponses.pendingRequests();
   }
 
-  /** Termination notices that were not acknowledged yet, or wait for a connection. */
+  /** The number of termination notices that are deferred or not acknowledged. */
   int undeliveredNoticeCount() {
     return pendingResponses.undeliveredNotices();
   }
 
-  /** Whether a machine may run a VM that nobody owns, and has not read that it is to release it. */
+  /** Whether a machine may run a VM that nobody owns and has not confirmed its release. */
   boolean hasUnsettledAttempts() {
     return machines.hasUnsettled();
   }
 
-  /** Requests, VMs, descriptions and notices that are kept. */
+  /** The number of requests, VMs, payloads and notices that are retained. */
   int retainedCount() {
-    return requests.size()
+    return requests.retainedCount()
         + pendingResponses.pendingRequests()
         + pendingResponses.runningVms()
         + pendingResponses.undeliveredNotices();
   }
 
-  /** What is owed to clients, for the log. */
-  String owed() {
+  /** The responses and notices that are outstanding, for the log. */
+  String describeOutstanding() {
     return pendingResponses.describe();
   }
 
-  /** What became of the requests, for the log. */
+  /** The outcomes of requests in one line, for the log; starts a new reporting period. */
   String takeRequestSummary() {
     return requestLog.takeSummary()
         + ", "
         + gate.describe()
         + ", connections unread for too long "
         + (clientServer == null ? 0 : clientServer.unreadTooLongCount())
-        + ", VMs that may run without a word of their machine "
+        + ", VMs whose end is unconfirmed "
         + inputs.scheduler.describeUnconfirmedEnds()
         + ", unsettled attempts "
         + machines.describeUnsettled();
@@ -228,7 +228,7 @@
 
   /** The server's state in one line. */
   String status() {
-    return owed()
+    return describeOutstanding()
         + ", machines "
         + machines.size()
         + ", machine connections "
@@ -247,12 +247,12 @@
         + outcomes.passedProbes()
         + " failed "
         + outcomes.failedProbes()
-        + ", unknown ends displaced "
+        + ", ends of unknown VMs displaced "
         + machines.displacedEndCount()
         + ", loop lag "
         + loop.lag(loop.clock()).toMillis()
-        + " ms, latest offer after a drain "
-        + machineList.latestOfferAfterDrain().toMillis()
+        + " ms, longest offer delay after a drain "
+        + machineList.maxOfferDelayAfterDrain().toMillis()
         + " ms, attempt outcomes "
         + outcomes.outcomeCounts();
   }
--- a/src/main/java/fordridge/server/json/LogByteBudget.java
+++ b/src/main/java/fordridge/server/json/LogByteBudget.java
@@ -4,8 +4,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Bounds the bytes of log lines: a burst of a few busy seconds in full, and a sustained rate. Lines
- * beyond it are to be left out, and are counted. Confined to one thread.
+ * A token bucket for the bytes of log lines: its capacity is a burst of a few busy seconds, its
+ * refill rate bounds sustained logging. The caller leaves out the lines that exceed it, which are
+ * counted. Confined to one thread.
  */
 final class LogByteBudget {
   static final long BURST_BYTES = 512 * 1024;
@@ -16,13 +17,16 @@
   private long refilledAtNanos;
   private long exceededCount;
 
-  /** A full budget. */
+  /** Creates a full budget. */
   LogByteBudget(LongSupplier nanoTime) {
     this.nanoTime = nanoTime;
     refilledAtNanos = nanoTime.getAsLong();
   }
 
-  /** Takes the bytes of a line off the budget; false, and nothing is taken, if it exceeds it. */
+  /**
+   * Takes the bytes of a line from the budget; takes nothing and returns false if the line exceeds
+   * it.
+   */
   boolean take(int bytes) {
     refill();
     if (bytes > availableBytes) {
@@ -42,7 +46,7 @@
     }
   }
 
-  /** How often the budget was exceeded. */
+  /** The number of lines that exceeded the budget. */
   long exceededCount() {
     return exceededCount;
   }
--- a/src/main/java/fordridge/server/json/MachineAcknowledgements.java
+++ b/src/main/java/fordridge/server/json/MachineAcknowledgements.java
@@ -8,23 +8,23 @@
 import java.util.function.Predicate;
 
 /**
- * Terminations that one machine has notified and that are acknowledged to it once a client has
- * acknowledged the notice in turn, or the notice is kept no longer: until then the machine is to
- * say it again to whoever comes, should this process end. Bounded by the notices that are kept.
- * Confined to the event loop.
+ * The termination notices of one machine whose acknowledgement is withheld until a client has
+ * acknowledged its own notice of the termination, or that notice is no longer kept. Should this
+ * process end before that, the machine reports the termination to the next scheduler. Bounded by
+ * the notices that are kept for clients. Confined to the event loop.
  */
 final class MachineAcknowledgements {
   private final Predicate<String> isUndelivered;
   private final BiConsumer<MachineConnection, String> acknowledge;
 
-  /** By VM, the connection on which the machine has last said it. */
-  private final Map<String, MachineConnection> owed = new LinkedHashMap<>();
+  /** By VM id, the connection on which the machine has last reported the termination. */
+  private final Map<String, MachineConnection> pending = new LinkedHashMap<>();
 
   /**
-   * None is owed yet.
+   * Creates an instance without pending acknowledgements.
    *
-   * @param isUndelivered whether the notice of that VM's end is kept for a client
-   * @param acknowledge tells the machine on that connection, without effect if it is closed
+   * @param isUndelivered whether the termination notice of that VM is kept for a client
+   * @param acknowledge sends the acknowledgement on that connection, without effect if it is closed
    */
   MachineAcknowledgements(
       Predicate<String> isUndelivered, BiConsumer<MachineConnection, String> acknowledge) {
@@ -32,18 +32,23 @@
     this.acknowledge = acknowledge;
   }
 
-  /** The machine has notified the termination of a VM, and the clients are told. */
+  /**
+   * The machine has reported the termination of a VM, and the client's notice was sent or deferred.
+   */
   void terminationReceived(MachineConnection connection, String vmId) {
     if (isUndelivered.test(vmId)) {
-      owed.put(vmId, connection);
+      pending.put(vmId, connection);
     } else {
       acknowledge.accept(connection, vmId);
     }
   }
 
-  /** Acknowledges what clients have acknowledged since; to be called periodically. */
+  /**
+   * Acknowledges the terminations whose client notices are no longer kept; to be called
+   * periodically.
+   */
   void sendDue() {
-    for (Iterator<Map.Entry<String, MachineConnection>> entries = owed.entrySet().iterator();
+    for (Iterator<Map.Entry<String, MachineConnection>> entries = pending.entrySet().iterator();
         entries.hasNext(); ) {
       Map.Entry<String, MachineConnection> entry = entries.next();
       if (!isUndelivered.test(entry.getKey())) {
--- a/src/main/java/fordridge/server/json/MachineHandle.java
+++ b/src/main/java/fordridge/server/json/MachineHandle.java
@@ -21,8 +21,8 @@
 import java.util.function.Predicate;
 
 /**
- * One machine and its connections: enters what they bring as inputs of the scheduler. Confined to
- * the event loop.
+ * One machine and its connections: submits the events of the connections as inputs of the
+ * scheduler. Confined to the event loop.
  */
 final class MachineHandle implements MachineClient.Listener {
   private final String id;
@@ -63,7 +63,7 @@
             this::acknowledge);
   }
 
-  /** To be called once, before anything else. */
+  /** Sets the client and the pool; to be called once, before any other method. */
   void attach(MachineClient client, MachineConnectionPool pool) {
     this.client = client;
     this.pool = pool;
@@ -93,7 +93,7 @@
     return loadReportCount;
   }
 
-  /** What is forwarded of the request; called at the instant at which it is written. */
+  /** The part of the request that is forwarded; called as the placement request is written. */
   RequestPayload payloadToOffer(Vm vm) {
     lastOfferAt = loop.clock();
     requestLog.offerWritten(vm, id, machine.hostedServices.get(vm.service), lastOfferAt);
@@ -107,7 +107,7 @@
 
   @Override
   public void connectionEstablished(MachineConnection connection) {
-    requestLog.vms().machineConnectionUp(id, loop.clock().minus(connection.openedAt()));
+    requestLog.vmLog().machineConnectionUp(id, loop.clock().minus(connection.openedAt()));
     gate.enterWhenRead(
         InputKind.MACHINE_CONNECTED, () -> pool.connectionEstablished(connection, loop.now()));
   }
@@ -121,8 +121,8 @@
   @Override
   public void connectionFailed(MachineConnection connection, ConnectFailure failure) {
     Duration openFor = loop.clock().minus(connection.openedAt());
-    requestLog.vms().machineConnectionFailed(id, failure, openFor);
-    loop.enter(
+    requestLog.vmLog().machineConnectionFailed(id, failure, openFor);
+    loop.submit(
         InputKind.MACHINE_CONNECT_FAILED,
         () -> pool.connectionFailed(connection, failure, loop.now()));
   }
@@ -131,20 +131,20 @@
   public void connectionLost(MachineConnection connection, String reason) {
     Duration openFor = loop.clock().minus(connection.openedAt());
     List<String> requestIds = connection.placementRequestIds();
-    requestLog.vms().machineConnectionLost(id, reason, openFor, requestIds);
-    loop.enter(
+    requestLog.vmLog().machineConnectionLost(id, reason, openFor, requestIds);
+    loop.submit(
         InputKind.MACHINE_CONNECTION_LOST, () -> pool.connectionLost(connection, loop.now()));
   }
 
   @Override
   public void connectionClosed(MachineConnection connection, MachineCloseReason reason) {
     Duration openFor = loop.clock().minus(connection.openedAt());
-    requestLog.vms().machineConnectionClosed(id, reason, openFor);
+    requestLog.vmLog().machineConnectionClosed(id, reason, openFor);
   }
 
   @Override
   public void vmAccepted(MachineConnection connection, String vmId, String description) {
-    loop.enter(
+    loop.submit(
         InputKind.VM_ACCEPTED, () -> pool.vmAccepted(connection, vmId, description, loop.now()));
   }
 
@@ -154,13 +154,16 @@
     }
   }
 
-  /** Lets timeouts take effect; to be called periodically. */
+  /** Applies timeouts and sends acknowledgements that are due; to be called periodically. */
   void tick() {
     pool.tick(loop.now());
     acknowledgements.sendDue();
   }
 
-  /** From now on nothing is taken in or acknowledged: there is no client left to tell. */
+  /**
+   * Ignores termination notices and sends no acknowledgements from now on: no client is left to be
+   * notified.
+   */
   void stopListening() {
     isStopped = true;
   }
@@ -170,19 +173,18 @@
     if (isStopped) {
       return;
     }
-    loop.enter(
+    loop.submit(
         InputKind.VM_TERMINATED,
         () -> {
           pool.vmTerminated(connection, termination, loop.now());
-          // Behind the notice to the client.
-          loop.enterBehind(
-              () -> acknowledgements.terminationReceived(connection, termination.vmId()));
+          // Queued after the notice to the client.
+          loop.enqueue(() -> acknowledgements.terminationReceived(connection, termination.vmId()));
         });
   }
 
   @Override
   public void probeAnswered(MachineConnection connection, boolean healthy, boolean withLoadReport) {
-    loop.enter(
+    loop.submit(
         InputKind.PROBE_ANSWERED,
         () -> pool.probeAnswered(connection, healthy, withLoadReport, loop.now()));
   }
@@ -190,7 +192,7 @@
   @Override
   public void vmReported(
       MachineConnection connection, String vmId, VmReportKind kind, double value) {
-    loop.enter(
+    loop.submit(
         InputKind.VM_REPORTED,
         () -> {
           pool.vmReported(connection, vmId);
@@ -203,7 +205,7 @@
 
   @Override
   public void terminationAcknowledged(MachineConnection connection, String vmId) {
-    loop.enter(InputKind.VM_TERMINATED, () -> pool.terminationAcknowledged(vmId));
+    loop.submit(InputKind.VM_TERMINATED, () -> pool.terminationAcknowledged(vmId));
   }
 
   private void reportVm(PlacementAttempt attempt, VmReportKind kind, double value) {
@@ -222,7 +224,7 @@
 
   @Override
   public void loadReported(LoadReport report, boolean answersProbe) {
-    loop.enter(
+    loop.submit(
         InputKind.LOAD_REPORTED,
         () -> {
           loadReportCount++;
--- a/src/main/java/fordridge/server/json/MachineListIntake.java
+++ b/src/main/java/fordridge/server/json/MachineListIntake.java
@@ -17,8 +17,8 @@
 import java.util.Set;
 
 /**
- * Enters changes of the machine list: first the connections to the machines learn of them, then the
- * scheduler. Confined to the event loop.
+ * Submits changes of the machine list as inputs: applies them to the connections to the machines
+ * first, then to the scheduler. Confined to the event loop.
  */
 final class MachineListIntake implements EndpointWatcher.Listener {
   private final SchedulerEventLoop loop;
@@ -27,19 +27,19 @@
 
   private final MachineStartTimes startTimes;
 
-  /** Whom the list named last at each address; as many as there are addresses. */
+  /** The machine that the list last named at each address; bounded by the number of addresses. */
   private final Map<InetSocketAddress, MachineHandle> handlesByAddress = new HashMap<>();
 
   private final VmLog log;
 
-  /** Whether what comes is told by the watch, not by the configuration. */
+  /** Whether events come from the watch rather than from the configuration. */
   private boolean isWatching;
 
   /**
-   * The longest that a placement request may have been written after its machine's drain was
-   * announced, as far as can be told from here.
+   * The longest time after the announcement of a machine's drain at which a placement request may
+   * have been written to it. An upper bound, as the time of the announcement is not known.
    */
-  private Duration latestOfferAfterDrain = Duration.ZERO;
+  private Duration maxOfferDelayAfterDrain = Duration.ZERO;
 
   MachineListIntake(
       SchedulerEventLoop loop,
@@ -54,7 +54,7 @@
     startTimes = new MachineStartTimes(startedAtEpochMillis);
   }
 
-  /** The list of the configuration is read: from now on changes are told by the watch. */
+  /** Called once the list of the configuration is read: from now on changes come from the watch. */
   void markWatching() {
     isWatching = true;
   }
@@ -77,14 +77,14 @@
               entry.lifecycle(),
               startedAt(entry)));
     }
-    loop.enterFromMachineList(
+    loop.submitMachineListChange(
         () -> {
           updateConnections(event, listed);
           inputs.list(event.isComplete(), false, listed);
         });
   }
 
-  /** By the scheduler's clock; null if it is not known. */
+  /** The machine's start time by the scheduler's clock; null if it is not known. */
   private Duration startedAt(MachineListEvent.Entry entry) {
     if (entry.lifecycle() == Machine.Lifecycle.GONE) {
       startTimes.forget(entry.id());
@@ -115,15 +115,20 @@
     }
   }
 
-  /** An address has one machine: whoever had it before is gone, whenever the list says so. */
+  /**
+   * Assigns an address to a machine. An address has one machine: the one that had it before is
+   * gone, even if the list has not reported that yet.
+   */
   private void setAddress(MachineHandle handle, MachineListEvent.Entry entry) {
     if (entry.lifecycle() == Machine.Lifecycle.GONE) {
       return;
     }
-    MachineHandle former = handlesByAddress.put(entry.address(), handle);
-    if (former != null && former != handle && entry.address().equals(former.client().address())) {
-      former.client().setAddress(null);
-      former.pool().addressTaken(loop.now());
+    MachineHandle previous = handlesByAddress.put(entry.address(), handle);
+    if (previous != null
+        && previous != handle
+        && entry.address().equals(previous.client().address())) {
+      previous.client().setAddress(null);
+      previous.pool().addressTaken(loop.now());
     }
     handle.client().setAddress(entry.address());
   }
@@ -132,7 +137,7 @@
     Machine machine = handle.machine();
     if (entry.lifecycle() != Machine.Lifecycle.LIVE
         && machine.lifecycle == Machine.Lifecycle.LIVE) {
-      recordLatestOffer(handle);
+      recordOfferDelayAfterDrain(handle);
     }
     boolean isRestarted = entry.startedAt() != null && !entry.startedAt().equals(machine.startedAt);
     handle.pool().machineListed(entry.lifecycle(), loop.now());
@@ -141,15 +146,15 @@
     }
   }
 
-  /** The drain was announced at some time after the list was last read. */
-  private void recordLatestOffer(MachineHandle handle) {
+  /** Measures from the last read of the list, as the drain was announced at some time after it. */
+  private void recordOfferDelayAfterDrain(MachineHandle handle) {
     if (handle.lastOfferAt().isPresent()) {
       Duration after = handle.lastOfferAt().get().minus(loop.machineListReadAt());
-      latestOfferAfterDrain = Durations.max(latestOfferAfterDrain, after);
+      maxOfferDelayAfterDrain = Durations.max(maxOfferDelayAfterDrain, after);
     }
   }
 
-  Duration latestOfferAfterDrain() {
-    return latestOfferAfterDrain;
+  Duration maxOfferDelayAfterDrain() {
+    return maxOfferDelayAfterDrain;
   }
 }
--- a/src/main/java/fordridge/server/json/MachineRegistry.java
+++ b/src/main/java/fordridge/server/json/MachineRegistry.java
@@ -24,8 +24,8 @@
 import java.util.function.Predicate;
 
 /**
- * All machines that the list or a client has named, with their connections, and the quota that
- * these share. Confined to the event loop.
+ * The machines that the machine list or a client has named, with their connections and the
+ * connection quota that they share. Confined to the event loop.
  */
 final class MachineRegistry {
   private final EventLoopGroup group;
@@ -63,12 +63,15 @@
     quota = new ConnectionQuota(maxConnections);
   }
 
-  /** How it is told whether the notice of a VM's end is kept; to be called once, at first. */
-  void attach(Predicate<String> noticeUndelivered) {
+  /**
+   * Sets the check whether a VM's termination notice is kept; to be called once, before the first
+   * machine is added.
+   */
+  void setNoticeCheck(Predicate<String> noticeUndelivered) {
     isNoticeUndelivered = noticeUndelivered;
   }
 
-  /** The machine of this id, registered if it is new. */
+  /** The machine with this id; registers it if it is new. */
   MachineHandle findOrAdd(String id) {
     MachineHandle handle = handlesById.get(id);
     if (handle == null) {
@@ -90,27 +93,29 @@
     return List.copyOf(handlesById.values());
   }
 
-  /** A machine that is registered. */
+  /** The handle of a machine that is registered. */
   MachineHandle handleOf(Machine machine) {
     return handlesByMachine.get(machine);
   }
 
-  /** The connections to a machine that is registered. */
+  /** The connection pool of a machine that is registered. */
   MachineConnectionPool poolOf(Machine machine) {
     return handleOf(machine).pool();
   }
 
-  /** The connections to the machine of an attempt. */
+  /** The connection pool of the attempt's machine. */
   MachineConnectionPool poolOf(PlacementAttempt attempt) {
     return poolOf(attempt.machine);
   }
 
-  /** Changes the number of connections over all machines; those above it stay open. */
+  /**
+   * Changes the limit of connections to all machines; connections above a lower limit stay open.
+   */
   void setMaxConnections(int maxConnections) {
     quota.setLimit(maxConnections);
   }
 
-  /** Other timeouts hold from now on. */
+  /** Replaces the timeouts of all machines. */
   void setTimeouts(ConnectionTimeouts newTimeouts) {
     timeouts = newTimeouts;
     for (MachineHandle handle : handlesById.values()) {
@@ -119,7 +124,9 @@
     }
   }
 
-  /** Lets timeouts take effect and shares out the connections; to be called periodically. */
+  /**
+   * Applies timeouts and rebalances the connections among the machines; to be called periodically.
+   */
   void tick() {
     for (MachineHandle handle : all()) {
       handle.tick();
@@ -127,7 +134,7 @@
     ConnectionBudget.rebalance(pools, quota.inUseCount(), quota.limit(), offers, loop.now());
   }
 
-  /** Takes in no more termination notices: the machines keep them for the next scheduler. */
+  /** Ignores termination notices from now on: the machines keep them for the next scheduler. */
   void stopListening() {
     all().forEach(MachineHandle::stopListening);
   }
@@ -140,7 +147,10 @@
     return quota.openCount();
   }
 
-  /** Ends of VMs unknown here that gave way to later ones, of all machines since the start. */
+  /**
+   * The number of kept ends of unknown VMs that were displaced by later ones, of all machines since
+   * the start.
+   */
   long displacedEndCount() {
     long count = 0;
     for (MachineConnectionPool pool : pools) {
@@ -149,7 +159,7 @@
     return count;
   }
 
-  /** VMs that may run at a machine and that nobody owns, for the log. */
+  /** Describes the VMs that may run on a machine and that nobody owns, for the log. */
   String describeUnsettled() {
     Map<UnsettledReason, Integer> counts = new EnumMap<>(UnsettledReason.class);
     Duration oldest = Duration.ZERO;
@@ -165,12 +175,12 @@
     return counts + ", oldest " + oldest.toMillis() + " ms, displaced " + displaced;
   }
 
-  /** Whether a VM may run at a machine that is not known to be gone, and that nobody owns. */
+  /** Whether a VM that nobody owns may run on a machine that is not known to be gone. */
   boolean hasUnsettled() {
     return pools.stream().anyMatch(pool -> pool.unsettled().oldestSince().isPresent());
   }
 
-  /** Load reports of all machines since the start. */
+  /** The number of load reports of all machines since the start. */
   long loadReportCount() {
     long count = 0;
     for (MachineHandle handle : handlesById.values()) {
--- a/src/main/java/fordridge/server/json/ProcessSignals.java
+++ b/src/main/java/fordridge/server/json/ProcessSignals.java
@@ -1,17 +1,18 @@
 package fordridge.server.json;
 
 /**
- * Handles signals to the process. Java has no supported interface for it; without this one a SIGHUP
- * could not be acted on, nor a SIGTERM before the exit has begun.
+ * Handles signals to the process. Java has no supported interface for this; without {@code
+ * sun.misc.Signal} a SIGHUP could not be handled, and a SIGTERM only after the JVM has begun to
+ * exit.
  */
 final class ProcessSignals {
   private ProcessSignals() {}
 
   /**
-   * Runs the handler on a thread of its own for each signal of that name, as {@code HUP}.
+   * Runs the handler on a separate thread for each signal of that name, such as {@code HUP}.
    *
    * @return false if the process was started with the signal ignored, as by {@code nohup}: the JVM
-   *     leaves it so, and the handler never runs
+   *     leaves it ignored, and the handler never runs
    */
   static boolean handle(String name, Runnable handler) {
     sun.misc.SignalHandler previous =
--- a/src/main/java/fordridge/server/json/RequestLog.java
+++ b/src/main/java/fordridge/server/json/RequestLog.java
@@ -14,44 +14,44 @@
 import java.util.function.Consumer;
 
 /**
- * Logs the state transitions of requests that took long or did not end with a VM, with the ids by
- * which they can be followed at clients and machines, and counts all transitions. Lines are
- * bounded, see {@link BoundedLog}. Confined to the event loop.
+ * Logs the state transitions of requests that took long or did not lead to a VM, with the ids that
+ * clients and machines log as well, and counts all transitions. The number of lines is limited, see
+ * {@link BoundedLog}. Confined to the event loop.
  */
 final class RequestLog {
-  /** What became of a VM that a client handed over. */
+  /** The result of a client's handover of a running VM. */
   enum Handover {
     ADOPTED,
-    /** It is known to run: its client has come on another connection. */
+    /** The VM is known to run; its client uses another connection from now on. */
     REBOUND,
-    /** Its request is pending on the same connection. */
+    /** The request for the VM is pending on the same connection. */
     PENDING_HERE,
-    /** It names no machine. */
+    /** The handover names no machine. */
     WITHOUT_MACHINE
   }
 
-  /** An offer that is written later than this after its request was read is logged. */
-  private static final Duration SLOW_OFFER = Duration.ofMillis(100);
+  /** An offer is logged as slow if it is written later than this after its request was read. */
+  private static final Duration SLOW_OFFER_THRESHOLD = Duration.ofMillis(100);
 
   private final BoundedLog log;
-  private final VmLog vms;
+  private final VmLog vmLog;
   private final Map<Handover, Long> handovers = new EnumMap<>(Handover.class);
   private final Map<Outcome, Long> outcomesBeforeAcceptance = new EnumMap<>(Outcome.class);
   private final Map<OfferObstacle, Long> withdrawnOffers = new EnumMap<>(OfferObstacle.class);
-  private Duration slowestOffer = Duration.ZERO;
-  private long offers;
+  private Duration maxOfferDelay = Duration.ZERO;
+  private long writtenOffers;
   private long rejected;
   private long failed;
   private long abandoned;
 
   RequestLog(Consumer<String> log) {
     this.log = new BoundedLog(log);
-    vms = new VmLog(log, System::nanoTime);
+    vmLog = new VmLog(log, System::nanoTime);
   }
 
-  /** Where the state transitions of VMs that run are logged. */
-  VmLog vms() {
-    return vms;
+  /** The log of the state transitions of each VM. */
+  VmLog vmLog() {
+    return vmLog;
   }
 
   /** A client handed over a VM that runs on the machine. */
@@ -63,16 +63,16 @@
   }
 
   /** The offer of an attempt is being written to its machine. */
-  void offerWritten(Vm vm, String machineId, HostedService hosted, Duration now) {
-    offers++;
+  void offerWritten(Vm vm, String machineId, HostedService hostedService, Duration now) {
+    writtenOffers++;
     if (vm.lastAttempt() != null) {
-      vms.offered(vm.lastAttempt(), machineId);
+      vmLog.offered(vm.lastAttempt(), machineId);
     }
-    Duration underway = now.minus(vm.arrivedAt);
-    if (underway.compareTo(slowestOffer) > 0) {
-      slowestOffer = underway;
+    Duration sinceArrival = now.minus(vm.arrivedAt);
+    if (sinceArrival.compareTo(maxOfferDelay) > 0) {
+      maxOfferDelay = sinceArrival;
     }
-    if (underway.compareTo(SLOW_OFFER) > 0 && vm.lastAttempt() != null) {
+    if (sinceArrival.compareTo(SLOW_OFFER_THRESHOLD) > 0 && vm.lastAttempt() != null) {
       Duration sinceDecision = now.minus(vm.lastAttempt().sentAt);
       write(
           "slow offer",
@@ -80,15 +80,15 @@
           "machine "
               + machineId
               + ", written "
-              + underway.toMillis()
-              + " ms after it was read, "
+              + sinceArrival.toMillis()
+              + " ms after the request was read, "
               + sinceDecision.toMillis()
-              + " ms after it was decided, hosted there of the service "
-              + (hosted == null ? 0 : hosted.count));
+              + " ms after the decision, VMs of the service on the machine "
+              + (hostedService == null ? 0 : hostedService.count));
     }
   }
 
-  /** An attempt that was decided may not be sent any more. */
+  /** An attempt was decided on, but must not be sent any more. */
   void offerWithdrawn(
       PlacementAttempt attempt, String machineId, OfferObstacle obstacle, Duration now) {
     withdrawnOffers.merge(obstacle, 1L, Long::sum);
@@ -101,7 +101,7 @@
             + obstacle
             + ", "
             + now.minus(attempt.sentAt).toMillis()
-            + " ms after it was decided");
+            + " ms after the decision");
   }
 
   /** An attempt ended without having been accepted. */
@@ -112,42 +112,42 @@
       OutcomeReason reason,
       Duration now) {
     outcomesBeforeAcceptance.merge(outcome, 1L, Long::sum);
-    vms.attemptEnded(attempt, machineId, outcome, reason, now);
+    vmLog.attemptEnded(attempt, machineId, outcome, reason, now);
   }
 
-  /** The client was told that its request is rejected. */
+  /** The rejection of the request was sent to its client. */
   void rejected(Vm vm, Duration now) {
     rejected++;
-    vms.requestEnded(vm.id, "rejected", describeWait(vm, now));
+    vmLog.requestEnded(vm.id, "rejected", describeWait(vm, now));
   }
 
-  /** The client was told that its request has failed. */
+  /** The failure of the request was sent to its client. */
   void failed(Vm vm, Duration now) {
     failed++;
-    vms.requestEnded(vm.id, "failed", describeWait(vm, now));
+    vmLog.requestEnded(vm.id, "failed", describeWait(vm, now));
   }
 
-  /** The client's connection closed under these requests. */
+  /** The client's connection closed while these requests were pending. */
   void abandoned(Collection<String> vmIds) {
     abandoned += vmIds.size();
-    vmIds.forEach(vmId -> vms.requestEnded(vmId, "abandoned", "its client's connection closed"));
+    vmIds.forEach(vmId -> vmLog.requestEnded(vmId, "abandoned", "client connection closed"));
   }
 
   /** The client withdrew its request. */
   void withdrawnByClient(String vmId) {
     abandoned++;
-    vms.requestEnded(vmId, "abandoned", "withdrawn by its client");
+    vmLog.requestEnded(vmId, "abandoned", "withdrawn by the client");
   }
 
-  /** A request was rejected, as the maximum number is pending. */
+  /** A request was rejected, as the maximum number of requests is pending. */
   void overCapacity(Vm vm) {
     rejected++;
-    vms.requestEnded(vm.id, "rejected", "too many are pending");
+    vmLog.requestEnded(vm.id, "rejected", "too many requests are pending");
   }
 
-  /** A client's connection closed, with VMs that run on. */
+  /** A client's connection closed while VMs of the client run. */
   void clientLeft(int remotePort, int runningVms) {
-    log.write("client left", "connection " + remotePort + ", running VMs " + runningVms);
+    log.write("client disconnected", "connection " + remotePort + ", running VMs " + runningVms);
   }
 
   private static String describeWait(Vm vm, Duration now) {
@@ -182,9 +182,9 @@
         "handovers "
             + handovers
             + ", offers written "
-            + offers
+            + writtenOffers
             + ", slowest "
-            + slowestOffer.toMillis()
+            + maxOfferDelay.toMillis()
             + " ms after its request, not sent "
             + withdrawnOffers
             + ", attempts ended before acceptance "
@@ -196,10 +196,10 @@
             + ", abandoned "
             + abandoned
             + ", log lines left out "
-            + (log.suppressedLines() + vms.suppressedLines())
+            + (log.suppressedLines() + vmLog.suppressedLines())
             + ", "
-            + vms.summary();
-    slowestOffer = Duration.ZERO;
+            + vmLog.summary();
+    maxOfferDelay = Duration.ZERO;
     log.startPeriod();
     return summary;
   }
--- a/src/main/java/fordridge/server/json/RequestValidator.java
+++ b/src/main/java/fordridge/server/json/RequestValidator.java
@@ -6,16 +6,16 @@
 import java.time.Duration;
 import java.util.regex.Pattern;
 
-/** Checks clients' requests against the settings, and makes VMs of them. */
+/** Validates clients' requests against the settings, and creates VMs from them. */
 final class RequestValidator {
-  /** The time that a response may take from here to its client. */
+  /** The time allowed for a response to reach its client. */
   static final Duration RESPONSE_MARGIN = Duration.ofMillis(15);
 
-  private static final Pattern KEY = Pattern.compile("[0-9a-fA-F]{1,16}");
+  private static final Pattern KEY_PATTERN = Pattern.compile("[0-9a-fA-F]{1,16}");
   private static final double MAX_TIME_LEFT_MILLIS = 3.6e6;
   private static final double MAX_LIFETIME_HINT_MILLIS = 1e9;
   private static final double NANOS_PER_MILLI = 1e6;
-  private static final int HEX = 16;
+  private static final int HEX_RADIX = 16;
 
   private ServerSettings settings;
 
@@ -23,17 +23,18 @@
     this.settings = settings;
   }
 
-  /** Other settings hold from the next request on. */
+  /** Replaces the settings, from the next request on. */
   void setSettings(ServerSettings newSettings) {
     settings = newSettings;
   }
 
   /**
-   * The VM that is requested.
+   * Validates a request and creates the VM that it requests.
    *
-   * @param lag how long the request may have waited to be read
+   * @param maxReadDelay how long the request may have waited to be read
    */
-  Vm validate(ClientRequest request, Duration now, Duration lag) throws InvalidRequestException {
+  Vm validate(ClientRequest request, Duration now, Duration maxReadDelay)
+      throws InvalidRequestException {
     Vm vm = new Vm(request.vmId());
     vm.priorityClass = priorityClass(request);
     vm.tenant = tenant(request);
@@ -42,7 +43,7 @@
     setResources(vm, request);
     vm.isClientRetry = request.isRetry() || "1".equals(request.extra("again"));
     vm.arrivedAt = now;
-    vm.deadline = now.plus(timeLeft(request)).minus(RESPONSE_MARGIN).minus(lag);
+    vm.deadline = now.plus(timeLeft(request)).minus(RESPONSE_MARGIN).minus(maxReadDelay);
     vm.expectedLifetime = expectedLifetime(request);
     return vm;
   }
@@ -70,27 +71,28 @@
   }
 
   private static void requireKey(ClientRequest request) throws InvalidRequestException {
-    if (request.key() == null || !KEY.matcher(request.key()).matches()) {
+    if (request.key() == null || !KEY_PATTERN.matcher(request.key()).matches()) {
       throw new InvalidRequestException("f.key", request.key(), "a string of 1 to 16 hex digits");
     }
   }
 
   private void setResources(Vm vm, ClientRequest request) throws InvalidRequestException {
-    vm.cores = amount(request, "cores", settings.maxCores());
-    vm.memory = amount(request, "memory", settings.maxMemory());
+    vm.cores = parseAmount(request, "cores", settings.maxCores());
+    vm.memory = parseAmount(request, "memory", settings.maxMemory());
     String service = request.extra("service");
     try {
-      vm.service = service == null ? 0 : Long.parseUnsignedLong(service, HEX);
+      vm.service = service == null ? 0 : Long.parseUnsignedLong(service, HEX_RADIX);
     } catch (NumberFormatException e) {
-      throw new InvalidRequestException("f.extras.service", service, "a number in hex");
+      throw new InvalidRequestException(
+          "f.extras.service", service, "an unsigned 64-bit number in hex");
     }
   }
 
-  private static double amount(ClientRequest request, String name, double max)
+  private static double parseAmount(ClientRequest request, String name, double max)
       throws InvalidRequestException {
     String path = "f.extras." + name;
     String text = request.extra(name);
-    double amount = number(path, text);
+    double amount = parseNumber(path, text);
     if (!(amount > 0 && amount <= max)) {
       throw new InvalidRequestException(path, text, "more than 0 and at most " + max);
     }
@@ -99,7 +101,7 @@
 
   /** How long the client waits, bounded by the start deadline of the priority class. */
   private Duration timeLeft(ClientRequest request) throws InvalidRequestException {
-    double millis = number("f.left", request.timeLeftMillis());
+    double millis = parseNumber("f.left", request.timeLeftMillis());
     boolean isInRange = millis > 0 && millis <= MAX_TIME_LEFT_MILLIS;
     if (!isInRange && request.extra("at") == null) {
       throw new InvalidRequestException(
@@ -114,13 +116,13 @@
     if (request.lifetimeHintMillis() == null) {
       return null;
     }
-    double millis = number("f.hint", request.lifetimeHintMillis());
+    double millis = parseNumber("f.hint", request.lifetimeHintMillis());
     return millis > 0 && millis < MAX_LIFETIME_HINT_MILLIS
         ? Duration.ofNanos((long) (millis * NANOS_PER_MILLI))
         : null;
   }
 
-  private static double number(String path, String text) throws InvalidRequestException {
+  private static double parseNumber(String path, String text) throws InvalidRequestException {
     if (text == null) {
       throw new InvalidRequestException(path, null, "a number");
     }
--- a/src/main/java/fordridge/server/json/SchedulerEventLoop.java
+++ b/src/main/java/fordridge/server/json/SchedulerEventLoop.java
@@ -14,14 +14,15 @@
 import java.util.function.Consumer;
 
 /**
- * Feeds inputs to the scheduler one after another, each with the scheduler's clock set, and sends
- * what they caused. It also measures how late the loop runs. Confined to the event loop.
+ * Runs the inputs of the scheduler one after another, sets the scheduler's clock before each, and
+ * flushes the resulting output to clients. It also measures the lag of the event loop. Confined to
+ * the event loop.
  *
- * <p>All inputs of one turn of the loop share one time: the scheduler goes through its pending
- * requests once for them, not once for each, however much arrives at once.
+ * <p>All inputs of one turn of the event loop share one time, so that the scheduler goes through
+ * its pending requests once per turn, not once per input, however many inputs arrive at once.
  */
 final class SchedulerEventLoop {
-  /** How old the machine list may be when an input is entered in the middle of a long turn. */
+  /** The maximum age of the machine list when an input runs in the middle of a long turn. */
   private static final Duration MACHINE_LIST_READ_INTERVAL = Duration.ofMillis(10);
 
   private final EventLoop loop;
@@ -45,8 +46,8 @@
     this.timers = timers;
     this.poller = poller;
     this.inputStatistics = inputStatistics;
-    // An input that fails is lost to the scheduler, those behind it are not; a request that it
-    // leaves without a decision fails at its deadline.
+    // A failed input is lost to the scheduler, but the inputs after it still run. A request that is
+    // left without a decision fails at its deadline.
     sequencer =
         new EventSequencer(
             System::nanoTime,
@@ -55,23 +56,26 @@
     lag = new EventLoopLagMonitor(timers, sequencer::clock);
   }
 
-  /** Which scheduler's clock is set; to be called before the first input. */
+  /** Sets the scheduler whose clock is advanced; to be called before the first input. */
   void attach(Scheduler scheduler) {
     this.scheduler = scheduler;
   }
 
-  /** From now on output to these clients is flushed behind each input. */
+  /** Sets the server whose output to clients is flushed after each input. */
   void setClients(ClientServer clients) {
     this.clients = clients;
   }
 
-  /** Measures the lag from now on, see {@link EventLoopLagMonitor#start}. */
+  /** Starts to measure the lag, see {@link EventLoopLagMonitor#start}. */
   void startLagMonitor() {
     lag.start();
   }
 
-  /** How the machine list is read at once, which is done before an input if it is due. */
-  void watchMachineList(Runnable readNow) {
+  /**
+   * Sets the task that reads the machine list at once. It runs before an input if the last read was
+   * {@link #MACHINE_LIST_READ_INTERVAL} ago or longer.
+   */
+  void setMachineListReader(Runnable readNow) {
     sequencer.watch(readNow, MACHINE_LIST_READ_INTERVAL);
   }
 
@@ -89,60 +93,66 @@
     }
   }
 
-  /** What is entered next has a time of its own, as at the beginning of a turn. */
-  void startTimeAnew() {
+  /** Gives the next input the current time, as at the beginning of a turn. */
+  void refreshTime() {
     isTurnStarted = false;
   }
 
-  /** The time of this turn's inputs, since the start. */
+  /** The time of this turn's inputs, counted from the start. */
   Duration now() {
     return now;
   }
 
-  /** The time since the start; it goes on within a turn. */
+  /** The time since the start; it advances within a turn. */
   Duration clock() {
     return sequencer.clock();
   }
 
-  /** Enters an input now, or behind the one that is being entered. */
-  void enter(InputKind kind, Runnable input) {
+  /** Runs an input now, or after the current input if one is running. */
+  void submit(InputKind kind, Runnable input) {
     long startedNanos = System.nanoTime();
-    flushIf(sequencer.enter(input));
+    flushClientsIf(sequencer.enter(input));
     inputStatistics.record(kind, System.nanoTime() - startedNanos);
   }
 
-  /** Enters a change of the machine list, whoever read it: the list is not read for it again. */
-  void enterFromMachineList(Runnable input) {
+  /**
+   * Runs a change of the machine list as an input. Unlike other inputs it causes no read of the
+   * list before it.
+   */
+  void submitMachineListChange(Runnable input) {
     long startedNanos = System.nanoTime();
-    flushIf(sequencer.enterFromWatch(input));
+    flushClientsIf(sequencer.enterFromWatch(input));
     inputStatistics.record(InputKind.MACHINE_LIST, System.nanoTime() - startedNanos);
   }
 
-  private void flushIf(boolean isEntered) {
-    if (isEntered && clients != null) {
+  private void flushClientsIf(boolean hasRun) {
+    if (hasRun && clients != null) {
       clients.flush();
     }
   }
 
-  /** Enters what follows from an input: behind the one that is being entered. */
-  void enterBehind(Runnable input) {
+  /** Queues a consequence of the current input, to run after it. */
+  void enqueue(Runnable input) {
     sequencer.behind(input);
   }
 
-  /** Enters an input after a delay. */
-  void enterAfter(Duration delay, InputKind kind, Runnable input) {
-    timers.runAfter(delay, () -> enter(kind, input));
+  /** Submits an input after a delay. */
+  void submitAfter(Duration delay, InputKind kind, Runnable input) {
+    timers.runAfter(delay, () -> submit(kind, input));
   }
 
   /**
-   * Enters an input after a delay, once the loop has read its sockets behind it: a timeout where
-   * the answer may have arrived while the loop was busy.
+   * Submits an input after a delay and a read of the sockets that follows it. For timeouts, as the
+   * answer may have arrived while the loop was busy.
    */
-  void enterBehindReadsAfter(Duration delay, InputKind kind, Runnable input) {
-    timers.runAfter(delay, () -> enterAfter(Duration.ZERO, kind, input));
+  void submitAfterSocketRead(Duration delay, InputKind kind, Runnable input) {
+    timers.runAfter(delay, () -> submitAfter(Duration.ZERO, kind, input));
   }
 
-  /** How long what is read now may have waited; at least the most of the last seconds. */
+  /**
+   * How long input that is read now may have waited to be read: at least the maximum lag of the
+   * last seconds.
+   */
   Duration lag(Duration at) {
     return lag.allowance(at, poller.sincePreviousPoll());
   }
--- a/src/main/java/fordridge/server/json/ServeCommand.java
+++ b/src/main/java/fordridge/server/json/ServeCommand.java
@@ -26,63 +26,67 @@
 import java.util.logging.Logger;
 
 /**
- * The command {@code serve}: one scheduler on JSON lines as a process, from its configuration file
- * and the signals that reload and stop it. Everything runs on one event loop.
+ * The command {@code serve}: runs one scheduler with the JSON lines protocol as a process. A file
+ * configures it; signals reload the configuration and stop the process. Everything runs on one
+ * event loop.
  */
 public final class ServeCommand implements AutoCloseable {
   private static final String CONFIGURATION_VARIABLE = "LB_CONFIG";
   private static final Duration MAX_WARM_UP_TIME = Duration.ofMillis(1500);
 
-  /** The server tells missed events at once, and its position every second otherwise. */
+  /**
+   * The machine list server sends missed events at once; if there are none, it sends its position
+   * every second.
+   */
   private static final Duration MAX_MACHINE_LIST_WAIT = Duration.ofMillis(300);
 
   private static final Duration STATUS_INTERVAL = Duration.ofSeconds(5);
   private static final Logger NETTY_LOGGER = Logger.getLogger("io.netty");
 
   private final PrintStream err;
-  private final Path file;
+  private final Path configurationFile;
   private final InputStatistics inputStatistics = new InputStatistics();
-  private final LoopTurnMonitor turns;
+  private final LoopTurnMonitor turnMonitor;
   private final SocketPoller poller = new SocketPoller();
   private final EventLoopGroup loop;
   private final EventLoopTimers timers;
   private final CountDownLatch stopped = new CountDownLatch(1);
-  private final CountDownLatch machineListHeard = new CountDownLatch(1);
+  private final CountDownLatch machineListReceived = new CountDownLatch(1);
   private volatile boolean isStopping;
   private volatile ServerConfiguration configuration;
   private volatile JsonSchedulerServer server;
   private volatile ClientServer clients;
   private volatile EndpointWatcher machineListWatcher;
 
-  /** On the event loop: the shutdown has begun. */
+  /** Whether the shutdown has begun. Confined to the event loop. */
   private boolean isShutdownStarted;
 
-  /** On the event loop: a reload was wanted before there was anything to reconfigure. */
+  /** Whether a reload was requested before the server was started. Confined to the event loop. */
   private boolean isReloadPending;
 
-  /** Reads the configuration; nothing is started yet. */
+  /** Creates the command and reads the configuration; nothing is started yet. */
   public ServeCommand(Path file, PrintStream err) throws IOException {
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-    // Its formatter opens a file for the time zone: with no descriptor left that ended the event
-    // loop's thread.
+    // Netty's log is off: the formatter of java.util.logging opens a file for the time zone, which
+    // without a free descriptor failed and ended the event loop's thread.
     NETTY_LOGGER.setLevel(Level.OFF);
     this.err = err;
-    this.file = file;
+    this.configurationFile = file;
     configuration = ServerConfiguration.read(file);
-    turns = new LoopTurnMonitor(inputStatistics, this::log);
+    turnMonitor = new LoopTurnMonitor(inputStatistics, this::log);
     loop =
         new MultiThreadIoEventLoopGroup(
-            1, MonitoredIoHandler.newFactory(NioIoHandler.newFactory(), turns, poller));
+            1, MonitoredIoHandler.newFactory(NioIoHandler.newFactory(), turnMonitor, poller));
     timers = new EventLoopTimers(loop.next(), this::logTaskFailure);
   }
 
   /**
-   * Serves with the configuration that the environment names until SIGTERM.
+   * Serves until SIGTERM, with the configuration file that the environment names.
    *
    * @return the exit code
    */
   public static int run(PrintStream err) throws InterruptedException {
-    // Before anything else: without a handler a SIGHUP ends the JVM.
+    // The handler is installed first: without one a SIGHUP ends the JVM.
     ServeCommand[] command = new ServeCommand[1];
     boolean canReload =
         ProcessSignals.handle(
@@ -99,7 +103,9 @@
     String path = System.getenv(CONFIGURATION_VARIABLE);
     if (path == null) {
       err.println(
-          "fordridge serve: " + CONFIGURATION_VARIABLE + " does not name the configuration");
+          "fordridge serve: "
+              + CONFIGURATION_VARIABLE
+              + " is not set, expected the path of the configuration file");
       return 1;
     }
     try {
@@ -144,7 +150,7 @@
     ChannelFuture listening = clients.listen(configuration.listenAddress()).await();
     if (!listening.isSuccess()) {
       throw new IOException(
-          "can't listen at "
+          "can't listen on "
               + configuration.listenAddress()
               + ": "
               + listening.cause().getMessage(),
@@ -163,9 +169,9 @@
             configuration.machineListPosition(),
             server.machineListListener(),
             this::log);
-    watcher.whenFirstHeard(machineListHeard::countDown);
+    watcher.whenFirstHeard(machineListReceived::countDown);
     watcher.watch(configuration.machineListAddress());
-    server.watchMachineList(watcher::readNow);
+    server.setMachineListReader(watcher::readNow);
     machineListWatcher = watcher;
     if (isReloadPending) {
       reload();
@@ -180,22 +186,23 @@
   }
 
   /**
-   * The list of the configuration is as old as the process: a machine that has been drained since
-   * must not be offered the first requests.
+   * Waits for the first message of the machine list watch. The list in the configuration is as old
+   * as the process, and a machine that has been drained since must not be offered the first
+   * requests.
    */
   private void awaitMachineList() throws InterruptedException {
-    if (!machineListHeard.await(MAX_MACHINE_LIST_WAIT.toMillis(), TimeUnit.MILLISECONDS)) {
-      log("machine list watch: nothing heard within " + MAX_MACHINE_LIST_WAIT.toMillis() + " ms");
+    if (!machineListReceived.await(MAX_MACHINE_LIST_WAIT.toMillis(), TimeUnit.MILLISECONDS)) {
+      log("machine list watch: no message within " + MAX_MACHINE_LIST_WAIT.toMillis() + " ms");
     }
   }
 
   private void logStatus() {
     log("status: " + server.status() + ", machine list position " + machineListWatcher.position());
     log("requests: " + server.takeRequestSummary());
-    log("event loop: " + turns.takeSummary());
+    log("event loop: " + turnMonitor.takeSummary());
   }
 
-  /** The number of clients' connections that are open. */
+  /** The number of open client connections. */
   public int connectionCount() throws InterruptedException, ExecutionException {
     return loop.submit(clients::connectionCount).get();
   }
@@ -205,12 +212,12 @@
     return loop.submit(server::machineConnectionCount).get();
   }
 
-  /** The number of requests, VMs, descriptions and notices that are kept. */
+  /** The number of requests, VMs, payloads and notices that are retained. */
   public int retainedCount() throws InterruptedException, ExecutionException {
     return loop.submit(server::retainedCount).get();
   }
 
-  /** The number of the last event of the machine list that was taken. */
+  /** The position of the last event of the machine list that was applied. */
   public long machineListPosition() throws InterruptedException, ExecutionException {
     return loop.submit(machineListWatcher::position).get();
   }
@@ -220,10 +227,10 @@
     return clients.address().getPort();
   }
 
-  /** Reads the configuration again; a malformed one is logged and changes nothing. */
+  /** Reloads the configuration file; a malformed one is logged and changes nothing. */
   public void reload() {
     log("configuration: reload requested");
-    // As a timer: what a plain task of the loop throws is seen by nobody.
+    // Run as a timer, as an exception of a plain task of the event loop would not be reported.
     timers.runAfter(Duration.ZERO, this::reloadOnLoop);
   }
 
@@ -233,13 +240,13 @@
       return;
     }
     try {
-      ServerConfiguration next = ServerConfiguration.read(file);
+      ServerConfiguration next = ServerConfiguration.read(configurationFile);
       server.reconfigure(next);
       clients.setMaxConnections(next.maxClientConnections());
       if (!next.listenAddress().equals(configuration.listenAddress())
           || !next.name().equals(configuration.name())) {
         log(
-            "configuration: another name or address needs a restart: "
+            "configuration: a changed name or listen address needs a restart: "
                 + next.name()
                 + " "
                 + next.listenAddress());
@@ -248,18 +255,18 @@
       machineListWatcher.watch(next.machineListAddress());
       log("configuration reloaded; machine list watched at " + next.machineListAddress());
     } catch (IOException | RuntimeException e) {
-      log("configuration not reloaded, the old one stays: " + e.getMessage());
+      log("configuration not reloaded, the current one stays in effect: " + e.getMessage());
     }
   }
 
-  /** Shuts down gracefully, see {@link GracefulShutdown}; before the start it ends at once. */
+  /** Shuts down gracefully, see {@link GracefulShutdown}; before the start it stops at once. */
   public void stop() {
-    long signalNanos = System.nanoTime();
+    long signalReceivedNanos = System.nanoTime();
     isStopping = true;
-    timers.runAfter(Duration.ZERO, () -> stopOnLoop(signalNanos));
+    timers.runAfter(Duration.ZERO, () -> stopOnLoop(signalReceivedNanos));
   }
 
-  private void stopOnLoop(long signalNanos) {
+  private void stopOnLoop(long signalReceivedNanos) {
     if (isShutdownStarted) {
       return;
     }
@@ -269,18 +276,19 @@
     }
     isShutdownStarted = true;
     log("shutting down: " + server.status());
-    new GracefulShutdown(timers, server, clients, signalNanos, this::log, stopped::countDown)
+    new GracefulShutdown(
+            timers, server, clients, signalReceivedNanos, this::log, stopped::countDown)
         .start();
   }
 
-  /** Waits for the end of a graceful shutdown; false if it has not come within that time. */
+  /** Waits until a graceful shutdown is complete; returns false if it is not within the timeout. */
   public boolean awaitStopped(Duration timeout) throws InterruptedException {
     return stopped.await(timeout.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** Closes all connections and ends the event loop. */
+  /** Closes all connections and stops the event loop. */
   @Override
-  @SuppressWarnings("FutureReturnValueIgnored") // Nothing waits for the loop's end.
+  @SuppressWarnings("FutureReturnValueIgnored") // Nothing waits for the event loop's termination.
   public void close() {
     if (machineListWatcher != null) {
       loop.execute(machineListWatcher::close);
--- a/src/main/java/fordridge/server/json/ServerConfiguration.java
+++ b/src/main/java/fordridge/server/json/ServerConfiguration.java
@@ -17,17 +17,17 @@
 import java.util.Map;
 
 /**
- * The configuration file of one scheduler: its name and address, its limits, the machine list as
- * known, and the settings that the scheduler reads. Immutable.
+ * The configuration file of one scheduler: its name and address, its limits, the initial machine
+ * list, and the settings of the scheduler and the server. Immutable.
  */
 final class ServerConfiguration {
   private static final String ROOT = "configuration";
   private static final int MIN_SOCKETS = 64;
-  private static final int HEX = 16;
+  private static final int HEX_RADIX = 16;
 
   /**
-   * Descriptors for the process itself: some twenty files, the selector, the machine list's
-   * connection, connections being accepted, and as many again.
+   * Descriptors reserved for the process itself: some twenty files, the selector, the machine list
+   * connection and connections being accepted, and as many again as a margin.
    */
   private static final int RESERVED_SOCKETS = 48;
 
@@ -40,8 +40,8 @@
   private final long machineListPosition;
   private final List<Object> machineListEvents;
 
-  /** All settings by name, those too that nothing here reads. */
-  private final Map<String, Object> values = new HashMap<>();
+  /** All settings by name, including those that this process does not read. */
+  private final Map<String, Object> settingsByName = new HashMap<>();
 
   private final SchedulerSettings schedulerSettings;
   private final ServerSettings serverSettings;
@@ -54,24 +54,26 @@
     Map<String, Object> limitFields = JsonFields.object(file.get("limits"), ROOT + ".limits");
     limits = limitFields.toString();
     maxSockets = readMaxSockets(limitFields);
-    Map<String, Object> known = JsonFields.object(file.get("known"), ROOT + ".known");
-    machineListPosition = JsonFields.whole(known, "pos", ROOT + ".known");
-    machineListEvents = JsonFields.list(known, "entries", ROOT + ".known");
-    SettingsValues.flatten("", JsonFields.object(file.get("settings"), ROOT + ".settings"), values);
-    if (!(values.get("lanes") instanceof Long classes) || classes < 1) {
+    Map<String, Object> knownMachineList = JsonFields.object(file.get("known"), ROOT + ".known");
+    machineListPosition = JsonFields.whole(knownMachineList, "pos", ROOT + ".known");
+    machineListEvents = JsonFields.list(knownMachineList, "entries", ROOT + ".known");
+    SettingsValues.flatten(
+        "", JsonFields.object(file.get("settings"), ROOT + ".settings"), settingsByName);
+    if (!(settingsByName.get("lanes") instanceof Long classes) || classes < 1) {
       throw new MalformedInputException(
           ROOT + ".settings: field 'lanes' names no priority classes, expected at least one");
     }
-    SettingsValues settingsValues = new SettingsValues(values);
+    SettingsValues settingsValues = new SettingsValues(settingsByName);
     schedulerSettings = SchedulerSettingsReader.read(settingsValues);
     serverSettings = ServerSettings.read(settingsValues, schedulerSettings);
   }
 
   private static long readSeed(String hex) {
     try {
-      return Long.parseUnsignedLong(hex, HEX);
+      return Long.parseUnsignedLong(hex, HEX_RADIX);
     } catch (NumberFormatException e) {
-      throw new MalformedInputException(ROOT + ": field 'seed' is not a number in hex: " + hex);
+      throw new MalformedInputException(
+          ROOT + ": field 'seed' is '" + hex + "', expected an unsigned 64-bit number in hex");
     }
   }
 
@@ -79,12 +81,12 @@
     int sockets = (int) JsonFields.whole(limitFields, "sockets", ROOT + ".limits");
     if (sockets < MIN_SOCKETS) {
       throw new MalformedInputException(
-          ROOT + ".limits: field 'sockets' is not at least " + MIN_SOCKETS + ": " + sockets);
+          ROOT + ".limits: field 'sockets' is " + sockets + ", expected at least " + MIN_SOCKETS);
     }
     return sockets;
   }
 
-  /** Reads the whole file; a malformed one is described by the exception's message. */
+  /** Reads and validates the whole file; the exception's message describes what is malformed. */
   static ServerConfiguration read(Path file) throws IOException {
     return new ServerConfiguration(JsonFields.parse(Files.readString(file)));
   }
@@ -97,7 +99,7 @@
     return listenAddress;
   }
 
-  /** Where the machine list is watched. */
+  /** The address of the server whose machine list is watched. */
   InetSocketAddress machineListAddress() {
     return machineListAddress;
   }
@@ -111,22 +113,25 @@
     return limits;
   }
 
-  /** How many clients' connections may be open: three eighths of all sockets. */
+  /** The maximum number of open client connections: three eighths of all sockets. */
   int maxClientConnections() {
     return maxSockets * 3 / 8;
   }
 
-  /** How many connections to machines may be open: what clients and the process itself leave. */
+  /**
+   * The maximum number of connections to machines: what clients and the process itself leave, but
+   * at least an eighth of all sockets.
+   */
   int maxMachineConnections() {
     return Math.max(maxSockets / 8, maxSockets - maxClientConnections() - RESERVED_SOCKETS);
   }
 
-  /** The number of the last event of the machine list that is known at the start. */
+  /** The position of the last machine list event in the configuration. */
   long machineListPosition() {
     return machineListPosition;
   }
 
-  /** Reads the events of the machine list that are known at the start. */
+  /** Reads the machine list events in the configuration. */
   List<MachineListEvent> readInitialMachineList() {
     List<MachineListEvent> events = new ArrayList<>(machineListEvents.size());
     for (Object event : machineListEvents) {
@@ -144,8 +149,11 @@
     return schedulerSettings;
   }
 
-  /** Whether the other has the same settings of scheduler and server, whatever else differs. */
+  /**
+   * Whether the other configuration has the same settings; its name, addresses, limits and machine
+   * list may differ.
+   */
   boolean hasSameSettings(ServerConfiguration other) {
-    return values.equals(other.values);
+    return settingsByName.equals(other.settingsByName);
   }
 }
--- a/src/main/java/fordridge/server/json/ServerSettings.java
+++ b/src/main/java/fordridge/server/json/ServerSettings.java
@@ -12,15 +12,15 @@
 import java.util.Set;
 
 /**
- * What the server itself, apart from its scheduler, needs of the settings: what a valid request is,
- * and how long it waits for machines.
+ * The settings that the server itself reads, apart from its scheduler: what a valid request is, and
+ * the timeouts of connections to machines.
  */
 final class ServerSettings {
   private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofMillis(250);
 
-  private final Map<String, PriorityClass> classesByName = new HashMap<>();
+  private final Map<String, PriorityClass> priorityClassesByName = new HashMap<>();
 
-  /** Empty where requests may name any tenant. */
+  /** Empty if requests may name any tenant. */
   private final Set<String> tenants = new HashSet<>();
 
   private final double maxCores;
@@ -33,21 +33,21 @@
             values.micros("caps.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT),
             settings.detectionTimeout());
     for (PriorityClass priorityClass : settings.priorityClasses()) {
-      classesByName.put(priorityClass.name(), priorityClass);
+      priorityClassesByName.put(priorityClass.name(), priorityClass);
     }
     if (values.number("tenants", 0) > 0) {
       tenants.addAll(settings.tenants());
     }
-    maxCores = max(values, "extra.cpuOfKind");
-    maxMemory = max(values, "extra.memoryByKind");
+    maxCores = maxItem(values, "extra.cpuOfKind");
+    maxMemory = maxItem(values, "extra.memoryByKind");
   }
 
-  /** The server's part of the values, of which {@code settings} is the scheduler's. */
+  /** Reads the server's part of the values; {@code settings} is the scheduler's part. */
   static ServerSettings read(SettingsValues values, SchedulerSettings settings) {
     return new ServerSettings(values, settings);
   }
 
-  private static double max(SettingsValues values, String name) {
+  private static double maxItem(SettingsValues values, String name) {
     double max = 0;
     for (int i = 0; i < values.list(name).size(); i++) {
       max = Math.max(max, values.item(name, i, 0));
@@ -56,39 +56,41 @@
   }
 
   boolean hasPriorityClass(String name) {
-    return classesByName.containsKey(name);
+    return priorityClassesByName.containsKey(name);
   }
 
   boolean allowsTenant(String name) {
     return tenants.isEmpty() || tenants.contains(name);
   }
 
-  /** Whether a VM of that class may be offered again whatever became of its earlier attempts. */
+  /**
+   * Whether a VM of that class may be offered again whatever the outcomes of its earlier attempts.
+   */
   boolean isIdempotent(String priorityClass) {
-    PriorityClass settings = classesByName.get(priorityClass);
-    return settings != null && settings.isIdempotent();
+    PriorityClass classSettings = priorityClassesByName.get(priorityClass);
+    return classSettings != null && classSettings.isIdempotent();
   }
 
-  /** How long clients of that class wait for a start at the most. */
+  /** The longest time for which clients of that class wait for a VM to start. */
   Duration startDeadline(String priorityClass) {
-    return classesByName.get(priorityClass).startDeadline();
+    return priorityClassesByName.get(priorityClass).startDeadline();
   }
 
   /** The longest start deadline of all classes. */
   Duration maxStartDeadline() {
     Duration max = Duration.ZERO;
-    for (PriorityClass priorityClass : classesByName.values()) {
+    for (PriorityClass priorityClass : priorityClassesByName.values()) {
       max = Durations.max(max, priorityClass.startDeadline());
     }
     return max;
   }
 
-  /** Cores of the largest kind of machine. */
+  /** The cores of the largest machine kind. */
   double maxCores() {
     return maxCores;
   }
 
-  /** Memory of the largest kind of machine. */
+  /** The memory of the largest machine kind. */
   double maxMemory() {
     return maxMemory;
   }
--- a/src/main/java/fordridge/server/json/VmLog.java
+++ b/src/main/java/fordridge/server/json/VmLog.java
@@ -19,14 +19,17 @@
 import java.util.function.LongSupplier;
 
 /**
- * Logs what becomes of each VM, by its id, in a short line a state transition, {@code vm ID EVENT
- * MACHINE DETAILS}: offered, accepted, ended, who was notified and who has acknowledged it, and how
- * each connection to a machine ended. The lines are bounded by their bytes alone, see {@link
- * LogByteBudget}, so that a busy second hides no id. Counts all transitions. Confined to the event
- * loop.
+ * Logs the state transitions of each VM by its id, each in a short line {@code vm ID EVENT:
+ * DETAILS}: that it was offered, accepted and ended, which client was notified and has acknowledged
+ * the notice. Also logs the events of each connection to a machine. The lines are limited by their
+ * bytes alone, see {@link LogByteBudget}, so that all ids of a busy second are logged. Counts all
+ * transitions. Confined to the event loop.
  */
 final class VmLog {
-  /** Reasons of lost connections are free text: beyond so many events all others count as one. */
+  /**
+   * How many events are counted apart; all others are counted as one. The reasons of lost
+   * connections are free text, so that there is no other bound.
+   */
   static final int MAX_COUNTED_EVENTS = 64;
 
   private static final String OTHER_EVENTS = "other";
@@ -64,21 +67,21 @@
         describe(attempt, machineId)
             + ", "
             + describe(outcome, reason)
-            + (attempt.mayStillRun ? ", may run" : "")
+            + (attempt.mayStillRun ? ", may still run" : "")
             + " after "
             + now.minus(attempt.sentAt).toMillis()
             + " ms");
   }
 
-  /** The withdrawal of an attempt was written, or waits behind earlier output. */
-  void withdrawn(PlacementAttempt attempt, String machineId, boolean hasGoneOut) {
+  /** The withdrawal of an attempt was sent, or is queued behind earlier output. */
+  void withdrawn(PlacementAttempt attempt, String machineId, boolean isFlushed) {
     write(
         attempt.vm.id,
-        hasGoneOut ? "withdrawal sent" : "withdrawal queued",
+        isFlushed ? "withdrawal sent" : "withdrawal queued",
         describe(attempt, machineId));
   }
 
-  /** The machine accepted the VM, and its client is told. */
+  /** The machine accepted the VM, and the acceptance is sent to its client. */
   void accepted(PlacementAttempt attempt, String machineId, Duration now) {
     write(
         attempt.vm.id,
@@ -86,47 +89,47 @@
         describe(attempt, machineId) + " after " + now.minus(attempt.sentAt).toMillis() + " ms");
   }
 
-  /** The machine accepted the VM, and nobody waits for it any more. */
+  /** The machine accepted the VM when no client waited for it any more. */
   void acceptedTooLate(PlacementAttempt attempt, String machineId) {
     write(attempt.vm.id, "accepted too late", describe(attempt, machineId));
   }
 
-  /** A machine accepted a VM that is not requested from it, or no longer. */
-  void unknownAccepted(String vmId, String machineId) {
+  /** A machine accepted a VM that is not or no longer requested from it. */
+  void unknownVmAccepted(String vmId, String machineId) {
     write(vmId, "acceptance ignored", machineId);
   }
 
-  /** An attempt's time is over, and its machine has shown that the VM runs. */
-  void answerAwaited(PlacementAttempt attempt, String machineId) {
-    write(attempt.vm.id, "answer awaited", describe(attempt, machineId));
+  /** An attempt timed out, but its machine has shown that the VM runs. */
+  void lateAnswerAwaited(PlacementAttempt attempt, String machineId) {
+    write(attempt.vm.id, "late answer awaited", describe(attempt, machineId));
   }
 
-  /** The request has its final response, or nobody waits for one any more. */
-  void requestEnded(String vmId, String how, String details) {
-    write(vmId, how, details);
+  /** The request has its final response, or its client does not wait for one any more. */
+  void requestEnded(String vmId, String event, String details) {
+    write(vmId, event, details);
   }
 
-  // VMs that run
+  // Running VMs
 
-  /** A VM that runs is over, by its machine's word or a conclusion of this scheduler. */
+  /** A running VM has ended, as its machine has reported or this scheduler has concluded. */
   void ended(
       PlacementAttempt attempt,
       String machineId,
       Outcome outcome,
       OutcomeReason reason,
-      String notified) {
+      String noticeStatus) {
     write(
         attempt.vm.id,
         "ended",
         machineId
             + ", "
             + describe(outcome, reason)
-            + (attempt.mayStillRun ? ", without the machine's word" : "")
+            + (attempt.mayStillRun ? ", not confirmed by the machine" : "")
             + ", "
-            + notified);
+            + noticeStatus);
   }
 
-  /** A VM ran and is over, or was lost, without an answer to its placement request. */
+  /** A VM ran and has ended, or was lost, without an answer to its placement request. */
   void endedUnanswered(
       PlacementAttempt attempt, String machineId, Outcome outcome, OutcomeReason reason) {
     write(
@@ -135,11 +138,11 @@
         describe(attempt, machineId) + ", " + describe(outcome, reason));
   }
 
-  /** A machine ended a VM that is not known to run there. */
-  void unknownEnded(VmTermination termination, String machineId) {
+  /** A machine reported the end of a VM that is not known to run there. */
+  void unknownVmEnded(VmTermination termination, String machineId) {
     write(
         termination.vmId(),
-        "unknown, ended",
+        "unknown VM ended",
         machineId + ", " + describe(termination.outcomeIfPending(), termination.reason()));
   }
 
@@ -148,17 +151,20 @@
     write(vmId, "release sent", machineId);
   }
 
-  /** The machine has read or said that such a VM is released. */
+  /** The machine has read the release of such a VM, or has confirmed it. */
   void releaseSettled(String vmId, String machineId) {
     write(vmId, "release settled", machineId);
   }
 
-  /** A client ended a VM that runs. */
+  /** A client ended a running VM. */
   void endedByClient(PlacementAttempt attempt, String machineId) {
-    write(attempt.vm.id, "ended by its client", machineId);
+    write(attempt.vm.id, "ended by the client", machineId);
   }
 
-  /** A client hands a VM over; late after the first moments of this scheduler. */
+  /**
+   * A client handed a running VM over; it is late if the handover window after the start has
+   * passed.
+   */
   void handedOver(String vmId, String machineId, String result, boolean isLate, int remotePort) {
     write(
         vmId,
@@ -166,15 +172,15 @@
         machineId + ", " + result + ", connection " + remotePort);
   }
 
-  /** A VM is being stopped, and its client told to request it anew. */
+  /** A VM is being stopped, and its client was notified to request it again. */
   void migrated(String vmId, int remotePort) {
     write(vmId, "migrated", "notice sent to " + remotePort);
   }
 
   // Notices
 
-  /** A termination notice that waited for a connection is sent. */
-  void noticeSentLate(TerminationNotice notice, int remotePort) {
+  /** A deferred termination notice is sent. */
+  void deferredNoticeSent(TerminationNotice notice, int remotePort) {
     write(notice.vmId(), "deferred notice sent", "to " + remotePort);
   }
 
@@ -188,40 +194,40 @@
     write(vmId, "notice acknowledged", "by " + remotePort);
   }
 
-  /** A termination notice is no longer worth sending, or gave way to later ones. */
+  /** A termination notice has expired, or was displaced by newer ones. */
   void noticeDropped(TerminationNotice notice, String reason) {
     write(notice.vmId(), "notice dropped", reason);
   }
 
   // Machines and their connections
 
-  /** A connection to a machine came up. */
-  void machineConnectionUp(String machineId, Duration openedFor) {
+  /** A connection to a machine was established. */
+  void machineConnectionUp(String machineId, Duration openFor) {
     count("connection up");
-    writeConnection(machineId, "up", openedFor);
+    writeConnection(machineId, "up", openFor);
   }
 
-  /** A connection to a machine did not come up. */
-  void machineConnectionFailed(String machineId, ConnectFailure failure, Duration openedFor) {
+  /** A connection to a machine could not be established. */
+  void machineConnectionFailed(String machineId, ConnectFailure failure, Duration openFor) {
     count("connection failed " + failure);
-    writeConnection(machineId, "failed " + failure, openedFor);
+    writeConnection(machineId, "failed " + failure, openFor);
   }
 
-  /** A connection to a machine broke; with the requests that it carried. */
+  /** A connection to a machine was lost, with the requests that it carried. */
   void machineConnectionLost(
-      String machineId, String reason, Duration openedFor, Collection<String> vmIds) {
+      String machineId, String reason, Duration openFor, Collection<String> vmIds) {
     count("connection lost (" + reason.replaceAll("[:'].*", "") + ")");
     String requests = vmIds.isEmpty() ? "" : ", requests " + String.join(" ", vmIds);
-    writeConnection(machineId, "lost, " + reason + requests, openedFor);
+    writeConnection(machineId, "lost, " + reason + requests, openFor);
   }
 
   /** This scheduler closes a connection to a machine. */
-  void machineConnectionClosed(String machineId, MachineCloseReason reason, Duration openedFor) {
+  void machineConnectionClosed(String machineId, MachineCloseReason reason, Duration openFor) {
     count("connection closed " + reason);
-    writeConnection(machineId, "closed " + reason, openedFor);
+    writeConnection(machineId, "closed " + reason, openFor);
   }
 
-  /** Nothing runs on a machine any more, or it can't be told. */
+  /** A machine has failed: nothing runs there any more, or it is unreachable. */
   void machineFailed(String machineId, MachineFailure failure, int runningVms) {
     count("machine failed " + failure);
     if (runningVms > 0) {
@@ -229,20 +235,22 @@
     }
   }
 
-  /** A change of the machine list came, with the machines that it names by life cycle. */
+  /** The machine list changed; logs the machines that are not live, by life cycle. */
   void machineListChanged(MachineListEvent event) {
-    Map<Machine.Lifecycle, StringJoiner> machines = new TreeMap<>();
+    Map<Machine.Lifecycle, StringJoiner> machineIdsByLifecycle = new TreeMap<>();
     for (MachineListEvent.Entry entry : event.machines()) {
-      machines.computeIfAbsent(entry.lifecycle(), key -> new StringJoiner(" ")).add(entry.id());
+      machineIdsByLifecycle
+          .computeIfAbsent(entry.lifecycle(), key -> new StringJoiner(" "))
+          .add(entry.id());
     }
-    machines.remove(Machine.Lifecycle.LIVE);
-    if (!machines.isEmpty()) {
-      writeLine("machine list: " + machines);
+    machineIdsByLifecycle.remove(Machine.Lifecycle.LIVE);
+    if (!machineIdsByLifecycle.isEmpty()) {
+      writeLine("machine list: " + machineIdsByLifecycle);
     }
   }
 
-  private void writeConnection(String machineId, String event, Duration openedFor) {
-    writeLine("connection " + machineId + " " + event + " after " + openedFor.toMillis() + " ms");
+  private void writeConnection(String machineId, String event, Duration openFor) {
+    writeLine("connection " + machineId + " " + event + " after " + openFor.toMillis() + " ms");
   }
 
   private static String describe(PlacementAttempt attempt, String machineId) {
@@ -269,7 +277,7 @@
     counts.merge(hasOwnCount ? event : OTHER_EVENTS, 1L, Long::sum);
   }
 
-  /** Lines that were left out since the start. */
+  /** The number of lines suppressed since the start. */
   long suppressedLines() {
     return budget.exceededCount();
   }
--- a/src/main/java/fordridge/server/json/WarmUp.java
+++ b/src/main/java/fordridge/server/json/WarmUp.java
@@ -25,16 +25,16 @@
 import java.util.List;
 
 /**
- * Runs requests through a scheduler of its own, and lines through the codec, before the server
- * listens. On a part of a core a JVM that has compiled nothing yet reads its first requests most of
- * a second late, and by then hundreds have come.
+ * Warms the JVM up before the server listens: runs requests through a separate scheduler, and lines
+ * through the codec. With a fraction of a core, a JVM that has compiled nothing yet reads its first
+ * requests most of a second late, when hundreds have arrived.
  */
 final class WarmUp implements SchedulerActions, ClientRequestHandler {
   private static final int MAX_REQUESTS = 260;
   private static final int MACHINES = 12;
   private static final int SERVICES = 7;
   private static final Duration REQUEST_INTERVAL = Duration.ofMillis(40);
-  private static final Duration RUN_TIME = Duration.ofMillis(1);
+  private static final Duration VM_LIFETIME = Duration.ofMillis(1);
   private static final Duration START_DEADLINE = Duration.ofSeconds(4);
 
   private final SchedulerSettings settings;
@@ -42,8 +42,8 @@
   private final SchedulerInputs<String> inputs =
       new SchedulerInputs<>(this, SchedulerInputs::number);
 
-  /** Inputs that follow from what the scheduler did, entered once it returns. */
-  private final Deque<Runnable> followingInputs = new ArrayDeque<>();
+  /** Inputs that result from the scheduler's actions; they run once the scheduler has returned. */
+  private final Deque<Runnable> pendingInputs = new ArrayDeque<>();
 
   private Duration now = Duration.ofSeconds(1);
   private int requestsReceived;
@@ -53,7 +53,7 @@
     priorityClass = settings.priorityClasses().get(0).name();
   }
 
-  /** Runs for at most {@code maxTime}; the result is the number of requests that were read. */
+  /** Runs for at most {@code maxTime}; returns the number of requests that were read. */
   static int run(ServerConfiguration configuration, Duration maxTime) {
     long startedNanos = System.nanoTime();
     WarmUp warmUp = new WarmUp(configuration.schedulerSettings());
@@ -61,7 +61,7 @@
     EmbeddedChannel channel = new EmbeddedChannel();
     ClientServer.embed(warmUp, channel.pipeline());
     for (int i = 0; i < MAX_REQUESTS && System.nanoTime() - startedNanos < maxTime.toNanos(); i++) {
-      warmUp.schedule(i);
+      warmUp.placeVm(i);
       warmUp.sendRequest(i, channel);
     }
     channel.finishAndReleaseAll();
@@ -89,7 +89,7 @@
     inputs.list(true, false, machines);
   }
 
-  private void schedule(int number) {
+  private void placeVm(int number) {
     now = now.plus(REQUEST_INTERVAL);
     inputs.scheduler.advanceTo(now);
     Vm vm = new Vm("vm" + number);
@@ -101,8 +101,8 @@
     vm.deadline = now.plus(START_DEADLINE);
     inputs.add(vm);
     inputs.scheduler.vmRequested(vm);
-    while (!followingInputs.isEmpty()) {
-      followingInputs.removeFirst().run();
+    while (!pendingInputs.isEmpty()) {
+      pendingInputs.removeFirst().run();
     }
     Machine machine = inputs.machine("m" + number % MACHINES);
     inputs.report(machine, machine.cores / 2, machine.memory / 2, 0.5, now);
@@ -130,15 +130,15 @@
   }
 
   @Override
-  public void sendAttempt(PlacementAttempt attempt, Duration within) {
-    followingInputs.addLast(() -> runVm(attempt));
+  public void sendAttempt(PlacementAttempt attempt, Duration timeout) {
+    pendingInputs.addLast(() -> acceptAndEnd(attempt));
   }
 
-  private void runVm(PlacementAttempt attempt) {
+  private void acceptAndEnd(PlacementAttempt attempt) {
     inputs.scheduler.attemptAccepted(attempt);
     inputs.scheduler.coreUsageReported(attempt, 0.5);
     inputs.scheduler.memoryUsageReported(attempt, 0.5);
-    now = now.plus(RUN_TIME);
+    now = now.plus(VM_LIFETIME);
     inputs.scheduler.advanceTo(now);
     inputs.scheduler.attemptEnded(attempt, Outcome.DONE, OutcomeReason.UNSPECIFIED, true);
     inputs.forget(attempt.vm);
@@ -162,19 +162,19 @@
 
   @Override
   public void probe(Machine machine) {
-    followingInputs.addLast(() -> inputs.scheduler.probeCompleted(machine, true, true));
+    pendingInputs.addLast(() -> inputs.scheduler.probeCompleted(machine, true, true));
   }
 
   @Override
   public void scheduleTimer(Duration delay) {
-    followingInputs.addLast(inputs.scheduler::timerFired);
+    pendingInputs.addLast(inputs.scheduler::timerFired);
   }
 
   @Override
   public void log(String line) {}
 
   @Override
-  public void watchMachineList(boolean on) {}
+  public void watchMachineList(boolean enabled) {}
 
   @Override
   public void fetchMachineList() {}
