--- a/src/test/java/fordridge/server/json/IgnoredHangupTest.java
+++ b/src/test/java/fordridge/server/json/IgnoredHangupTest.java
@@ -8,7 +8,9 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** A process whose parent ignores SIGHUP, as nohup does, can't be reloaded, and says so. */
+/**
+ * A process that was started with SIGHUP ignored, as by nohup, can't be reloaded and reports that.
+ */
 class IgnoredHangupTest {
   private static String outputOf(String shellPrefix) throws IOException, InterruptedException {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -27,7 +29,7 @@
   }
 
   @Example
-  void ignoredHangupIsSaidAtTheStart() throws Exception {
+  void ignoredHangupIsReportedAtStart() throws Exception {
     assertThat(outputOf("trap '' HUP; ")).contains("SIGHUP ignored");
     assertThat(outputOf("")).doesNotContain("SIGHUP ignored");
   }
--- a/src/test/java/fordridge/server/json/JsonServerRaceTest.java
+++ b/src/test/java/fordridge/server/json/JsonServerRaceTest.java
@@ -23,11 +23,11 @@
 import net.jqwik.api.Example;
 
 /**
- * Races between two events on real sockets: the peers hold one of them back and let it go once the
- * other is under way, so that the race happens every time.
+ * Races between two events on real sockets. The peers delay one event until the other is in
+ * progress, so that the race occurs in every run.
  */
 class JsonServerRaceTest {
-  /** The machine's connections come up only once they are accepted, and may take that long. */
+  /** A configuration whose connect timeout allows for a machine that accepts connections late. */
   private static String slowToConnect(JsonTestPeers peers, StalledServer stalled) {
     return peers
         .configuration(peers.machineList.port(), machineEntry("s-1", stalled.port(), "SERVING"))
@@ -41,12 +41,12 @@
       peers.start(slowToConnect(peers, stalled));
       LineConnection client = peers.connectClient();
       client.send(request(1, "a"));
-      // Cancelled before the connection is begun, none would be.
+      // The connect has to be in progress first: a cancelled request would start none.
       peers.awaitMachineConnection();
       client.send(message("down", 1, ",\"c\":16"));
       assertThat(client.receiveUntilHealthCheck()).isEmpty();
       assertThat(stalled.acceptFirst().receiveUntilHealthCheck())
-          .as("its client had cancelled before a connection came up")
+          .as("its client had cancelled before a connection was established")
           .isEmpty();
     }
   }
@@ -62,7 +62,7 @@
       client.close();
       await().until(() -> peers.server.retainedCount() == 0);
       assertThat(stalled.acceptFirst().receiveUntilHealthCheck())
-          .as("its client had left before a connection came up")
+          .as("its client had left before a connection was established")
           .isEmpty();
     }
   }
@@ -75,7 +75,7 @@
       LineConnection watch = peers.machineList.accept();
       LineConnection client = peers.connectClient();
       client.send(request(1, "once"));
-      // Had the drain been read before the decision, no connection would be begun.
+      // A drain that is read before the decision would prevent the connect.
       peers.awaitMachineConnection();
       assertThat(client.receiveUntilHealthCheck()).isEmpty();
       watch.send(
@@ -89,12 +89,12 @@
           .as("it never ran on the draining machine, so it may go elsewhere")
           .contains("\"up\"");
       assertThat(stalled.acceptFirst().receiveUntilHealthCheck())
-          .as("the drain was announced before a connection came up")
+          .as("the drain was announced before a connection was established")
           .isEmpty();
     }
   }
 
-  /** The new server comes up late, and the drain is announced after the old one was left. */
+  /** The new server starts late; the drain is announced after the old server's watch has ended. */
   @Example
   void drainBetweenOldAndNewMachineListServerIsNotMissed() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -106,14 +106,14 @@
           peers.configuration(port, machineEntry("s-1", peers.machine.port(), "SERVING")));
       peers.server.reload();
       assertThat(watch.receive(CLOSED)).isEqualTo(CLOSED);
-      try (LineServer late = new LineServer(port)) {
-        LineConnection there = JsonTestPeers.acceptWatch(late, 3);
-        there.send(listEvent(4, false, machineEntry("s-1", peers.machine.port(), "DRAINING")));
+      try (LineServer newServer = new LineServer(port)) {
+        LineConnection newWatch = JsonTestPeers.acceptWatch(newServer, 3);
+        newWatch.send(listEvent(4, false, machineEntry("s-1", peers.machine.port(), "DRAINING")));
         await().until(() -> peers.server.machineListPosition() == 4);
         LineConnection client = peers.connectClient();
         client.send(request(1, "a", "700", "cores:1;memory:1;service:1", "any"));
         assertThat(client.receive(id(1)))
-            .as("nothing is left to place on")
+            .as("no live machine is left")
             .contains("\"down\"")
             .contains("\"c\":34");
       }
@@ -135,7 +135,7 @@
     }
   }
 
-  /** Limits used to be read by a reload and ignored. */
+  /** Guards against a reload that reads changed limits and ignores them. */
   @Example
   void changedLimitsHoldFromReloadOn() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -156,7 +156,7 @@
     }
   }
 
-  /** A drain used to wait behind a long list, some of which was read in each turn of the loop. */
+  /** Guards against an unread drain behind a long list that is read over several loop turns. */
   @Example
   void drainBehindLongMachineListEventIsReadBeforeSending() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers();
@@ -190,7 +190,7 @@
     }
   }
 
-  /** An offer waits behind the other reads of a turn in which the drain is announced. */
+  /** An offer is sent after the other reads of its turn; the drain is announced during these. */
   @Example
   void drainReadWithinOneLoopTurnPreventsOfferOfThatTurn() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers();
@@ -198,19 +198,19 @@
       peers.start();
       LineConnection watch = peers.acceptWatch(3);
       LineConnection client = peers.connectClient();
-      LineConnection bad = peers.connectClient();
-      assertThat(bad.receiveUntilHealthCheck()).isEmpty();
+      LineConnection invalidClient = peers.connectClient();
+      assertThat(invalidClient.receiveUntilHealthCheck()).isEmpty();
       client.send(request(1, "a"));
-      LineConnection open = peers.machine.await(id(1));
-      open.send(message("up", 1, ",\"d\":\"d\""));
+      LineConnection machine = peers.machine.await(id(1));
+      machine.send(message("up", 1, ",\"d\":\"d\""));
       assertThat(client.receive(id(1))).contains("\"up\"");
-      open.receiveUntilHealthCheck();
+      machine.receiveUntilHealthCheck();
       peers.blockLoopAtLog("configuration reloaded");
       peers.server.reload();
       peers.loopBlocked.await();
-      // Both are read in one turn; one of them takes long, and the drain is announced meanwhile.
+      // Both are read in one turn. The invalid one takes long; the drain is announced meanwhile.
       client.send(request(2, "a"));
-      bad.send(request(3, "no such flavour"));
+      invalidClient.send(request(3, "no such flavour"));
       peers.runAtLog(
           "invalid request",
           () -> {
@@ -239,19 +239,19 @@
   void missingMachineListEventIsFetchedBeforeLaterOnes() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
       peers.start();
-      String drains = listEvent(4, false, machineEntry("s-1", peers.machine.port(), "DRAINING"));
-      String joins = listEvent(5, false, machineEntry("s-2", peers.machine.port(), "SERVING"));
+      String drain = listEvent(4, false, machineEntry("s-1", peers.machine.port(), "DRAINING"));
+      String join = listEvent(5, false, machineEntry("s-2", peers.machine.port(), "SERVING"));
       LineConnection watch = peers.acceptWatch(3);
-      watch.send(joins + "\n" + joins);
+      watch.send(join + "\n" + join);
       LineConnection second = peers.acceptWatch(3);
-      second.send(drains.replace("DRAINING", "DRAI") + "\n" + joins);
+      second.send(drain.replace("DRAINING", "DRAI") + "\n" + join);
       LineConnection third = peers.acceptWatch(3);
-      third.send(drains + "\n" + joins);
+      third.send(drain + "\n" + join);
       await().until(() -> peers.server.machineListPosition() == 5);
-      // Earlier positions are ignored; a complete list needs no event before it.
+      // Earlier positions are ignored; a complete list needs no preceding event.
       third.send(
           "2\n"
-              + drains
+              + drain
               + "\n"
               + listEvent(9, true, machineEntry("s-3", peers.machine.port(), "SERVING")));
       await().until(() -> peers.server.machineListPosition() == 9);
@@ -265,15 +265,15 @@
       LineConnection client = peers.connectClient();
       client.send(request(1, "once", "1000", "cores:1;memory:1;service:1", "any"));
       LineConnection machine = peers.machine.await("\"new\"");
-      // The acceptance is held back until the scheduler has cancelled the request.
+      // The acceptance is delayed until the scheduler has cancelled the request.
       assertThat(machine.receive("\"down\"")).contains(id(1)).contains("\"c\":16");
       machine.send(message("up", 1, ",\"d\":\"late\""));
       assertThat(client.receive(id(1))).contains("\"down\"").contains("\"c\":47");
-      assertThat(client.receiveUntilHealthCheck()).as("one answer").isEmpty();
+      assertThat(client.receiveUntilHealthCheck()).as("exactly one response").isEmpty();
     }
   }
 
-  /** The machine has read the request, and its process ends before it answers. */
+  /** The machine's process ends after it has read the request, before it answers. */
   @Example
   void machineResetAfterRequestFailsNonIdempotentRequest() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -287,7 +287,7 @@
           .contains("\"c\":47");
       assertThat(client.receiveUntilHealthCheck()).isEmpty();
       assertThat(peers.machine.connections())
-          .allSatisfy(w -> assertThat(w.lines).noneMatch(l -> l.contains("\"new\"")));
+          .allSatisfy(peer -> assertThat(peer.lines).noneMatch(line -> line.contains("\"new\"")));
     }
   }
 
@@ -299,29 +299,29 @@
       sendByteByByte(
           client, request(1, "a", "4000", "cores:1;memory:1;service:1", "d\\u00e9") + "\n");
       LineConnection machine = peers.machine.await("\"new\"");
-      assertThat(machine.foundBy()).contains(id(1));
+      assertThat(machine.matchedLine()).contains(id(1));
       sendByteByByte(machine, message("up", 1, ",\"d\":\"€\"") + "\n");
       assertThat(client.receive(id(1))).contains("\"up\"").contains("€");
       sendByteByByte(machine, message("down", 1, ",\"c\":16") + "\n");
       assertThat(client.receive(id(1))).contains("\"down\"").contains("\"c\":16");
-      // Half a request, and the client is gone: nothing of it is taken.
-      LineConnection half = peers.connectClient();
-      sendByteByByte(half, request(2, "a").substring(0, 60));
-      half.close();
+      // A client sends half a request and closes: the half is discarded.
+      LineConnection closingClient = peers.connectClient();
+      sendByteByByte(closingClient, request(2, "a").substring(0, 60));
+      closingClient.close();
       assertThat(client.receiveUntilHealthCheck()).isEmpty();
     }
   }
 
-  private static void sendByteByByte(LineConnection to, String text) throws Exception {
-    to.socket.setTcpNoDelay(true);
-    OutputStream out = to.socket.getOutputStream();
+  private static void sendByteByByte(LineConnection connection, String text) throws Exception {
+    connection.socket.setTcpNoDelay(true);
+    OutputStream out = connection.socket.getOutputStream();
     for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
       out.write(b);
       out.flush();
     }
   }
 
-  /** A notice used to be lost that was written into a connection which its client was closing. */
+  /** Guards against the loss of a notice written to a connection that its client closes. */
   @Example
   void noticeUnacknowledgedAtCloseIsSentOnAnotherConnection() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -337,7 +337,7 @@
       assertThat(other.receive(id(2))).contains("\"up\"");
       machine.send(message("down", 1, ",\"c\":16"));
       assertThat(client.receive(id(1))).contains("\"down\"");
-      // Written, and as far as the scheduler can know not received.
+      // The notice was written, but the scheduler can't know whether it was received.
       client.close();
       assertThat(other.receive(id(1))).contains("\"down\"").contains("\"c\":16");
       other.send(message("ack", 1, ""));
@@ -346,7 +346,7 @@
     }
   }
 
-  /** Such a client used not to be read from either, and could not be seen to leave. */
+  /** Guards against a full output buffer that also stops reading: the close would go unnoticed. */
   @Example
   void clientThatReadsNothingIsDisconnected() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -355,7 +355,7 @@
       other.send(request(0, "a"));
       LineConnection first = peers.machine.await(id(0));
       LineConnection machine;
-      // Nothing is read from this socket.
+      // The test never reads from this socket.
       try (Socket socket = new Socket()) {
         socket.setReceiveBufferSize(4096);
         socket.connect(
@@ -370,11 +370,11 @@
               (request(i, "a", "4000", "cores:0.01;memory:0.01;service:1", "x") + "\n")
                   .getBytes(StandardCharsets.UTF_8));
           LineConnection carrier = null;
-          for (int n = 0; open && carrier == null; n++) {
+          for (int polls = 0; open && carrier == null; polls++) {
             carrier = peers.machine.findRequest(id(i));
             Thread.onSpinWait();
-            // Neither admitted nor closed would mean that it is read no more.
-            open = peers.server.connectionCount() == 2 && n < 2000;
+            // If it is neither admitted nor closed, the server no longer reads the socket.
+            open = peers.server.connectionCount() == 2 && polls < 2000;
           }
           if (carrier != null) {
             carrier.send(message("up", i, ",\"d\":\"" + bigDescription + "\""));
@@ -392,7 +392,7 @@
     }
   }
 
-  /** One response for both, and the attempt that was in flight is cancelled. */
+  /** Both requests get one response, and the attempt in flight is cancelled. */
   @Example
   void duplicateIdFailsOnceAndCancelsTheAttempt() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -404,7 +404,7 @@
       assertThat(client.receive(id(1))).contains("\"down\"").contains("\"c\":47");
       machine.send(message("up", 1, ",\"d\":\"d\""));
       assertThat(machine.receive("\"down\"")).contains(id(1)).contains("\"c\":16");
-      assertThat(client.receive(id(1))).as("no second answer").isEqualTo(CLOSED);
+      assertThat(client.receive(id(1))).as("no second response").isEqualTo(CLOSED);
     }
   }
 
@@ -417,9 +417,9 @@
       peers.machineList.server.close();
       List<Socket> idle = peers.openIdleConnections(250);
       watch.close();
-      try (LineServer back = new LineServer(port)) {
-        LineConnection again = JsonTestPeers.acceptWatch(back, 3);
-        again.send(listEvent(4, false, machineEntry("s-2", peers.machine.port(), "SERVING")));
+      try (LineServer restarted = new LineServer(port)) {
+        LineConnection newWatch = JsonTestPeers.acceptWatch(restarted, 3);
+        newWatch.send(listEvent(4, false, machineEntry("s-2", peers.machine.port(), "SERVING")));
         await().until(() -> peers.server.machineListPosition() == 4);
       }
       LineConnection client = peers.connectClient();
@@ -430,7 +430,7 @@
     }
   }
 
-  /** With a short start deadline the scheduler used to end before the last requests came. */
+  /** Guards against an exit before the last requests arrive if start deadlines are short. */
   @Example
   void stopWithShortStartDeadlinesStillServesLateRequests() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -439,7 +439,7 @@
       peers.server.stop();
       peers.server.stop();
       assertThat(peers.server.awaitStopped(Duration.ofMillis(550)))
-          .as("requests come for 0.6 s")
+          .as("clients send requests for 0.6 s after the stop")
           .isFalse();
       client.send(request(1, "a", "500", "cores:1;memory:1;service:1", "any"));
       peers.machine.await(id(1)).send(message("up", 1, ",\"d\":\"d\""));
@@ -448,7 +448,7 @@
     }
   }
 
-  /** A notice that falls on the end is sent before it, with some time to be acknowledged. */
+  /** A notice that becomes due in a shutdown is sent, with some time for its acknowledgement. */
   @Example
   void stopWaitsForUndeliveredNotice() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -469,7 +469,7 @@
           .as("deferred until a connection has sent a request")
           .contains("\"down\"")
           .contains("\"c\":16");
-      assertThat(machine.lines).as("before any client has heard it").isEmpty();
+      assertThat(machine.lines).as("no ack before a client's ack").isEmpty();
       other.send(message("ack", 1, ""));
       assertThat(machine.receive("ack")).contains(id(1));
       peers.machine.await(id(2)).send(message("up", 2, ",\"d\":\"d\""));
--- a/src/test/java/fordridge/server/json/JsonServerTest.java
+++ b/src/test/java/fordridge/server/json/JsonServerTest.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 
-/** The scheduler on loopback, against scripted clients, a machine and a machine list server. */
+/** The scheduler on loopback with scripted clients, one machine and a machine list server. */
 class JsonServerTest {
   @Example
   void descriptionsAreForwardedUnchangedBothWays() throws Exception {
@@ -38,7 +38,7 @@
               "cores:1;memory:2;service:00000000b4d65521",
               "x\\r\\nc=\\u00e9 \\\"q\\\"\\u0001"));
       LineConnection machine = peers.machine.await("\"new\"");
-      assertThat(JsonFields.parse(machine.foundBy()))
+      assertThat(JsonFields.parse(machine.matchedLine()))
           .containsEntry("ref", id(1))
           .containsEntry("d", "x\r\nc=é \"q\"\u0001");
       assertThat(fields(machine))
@@ -54,15 +54,15 @@
           .containsEntry("ref", id(1));
       machine.send(message("down", 1, ",\"c\":16"));
       assertThat(client.receive("\"t\":")).contains("\"down\"").contains("\"c\":16");
-      assertThat(machine.receive("\"down\"")).as("the one that was not asked for").contains(id(2));
+      assertThat(machine.receive("\"down\"")).as("the VM that was not requested").contains(id(2));
       assertThat(machine.receive("\"hb\"")).isNotNull();
-      assertThat(machine.lines).as("before its client has heard it").isEmpty();
+      assertThat(machine.lines).as("no ack before the client's ack").isEmpty();
       client.send(message("ack", 1, ""));
       assertThat(machine.receive("ack")).contains(id(1));
     }
   }
 
-  /** The key used to be left behind, so that machines could not recognize a repeated request. */
+  /** Guards against dropping the key, without which machines can't recognize a repeated request. */
   @Example
   void idempotencyKeyIsForwardedOnlyWhereGiven() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -79,12 +79,12 @@
     }
   }
 
-  /** The fields of the request by which the connection was found. */
+  /** The fields of the request for which the connection was selected. */
   private static Map<String, Object> fields(LineConnection connection) throws IOException {
-    return JsonFields.object(JsonFields.parse(connection.foundBy()).get("f"), "f");
+    return JsonFields.object(JsonFields.parse(connection.matchedLine()).get("f"), "f");
   }
 
-  /** A termination used to be lost when it fell on the moment of an idle connection's close. */
+  /** Guards against the loss of a termination that is written while an idle connection closes. */
   @Example
   void terminationWrittenWhileIdleConnectionClosesIsReceived() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -98,8 +98,8 @@
       second.send(message("up", 2, ",\"d\":\"d\""));
       assertThat(client.receive(id(1))).contains("\"up\"");
       assertThat(client.receive(id(2))).contains("\"up\"");
-      // Of two idle connections one is kept, the other closed by the scheduler. Only then the
-      // machine writes.
+      // The scheduler keeps one of two idle connections and closes the other; only then the machine
+      // writes to it.
       assertThat(second.receive(CLOSED)).isEqualTo(CLOSED);
       second.send(message("down", 2, ",\"c\":16"));
       assertThat(client.receive(id(2))).contains("\"down\"").contains("\"c\":16");
@@ -147,7 +147,7 @@
   }
 
   @Example
-  void extraWhoseNameOnlyEndsInAtIsNotAdoption() throws Exception {
+  void extraWhoseNameOnlyEndsInAtIsNoHandover() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
       peers.start();
       LineConnection client = peers.connectClient();
@@ -157,7 +157,7 @@
     }
   }
 
-  /** The client used to be notified too late of a VM that a draining machine had stopped. */
+  /** Guards against notifying the client too late of a VM that a draining machine has stopped. */
   @Example
   void vmThatEndsBeforeItsAcceptanceFailsAndIsNotPlacedAgain() throws Exception {
     for (String cause : List.of("16", "41")) {
@@ -186,10 +186,10 @@
         machine.send(message("up", 1, ",\"d\":\"late\""));
         machine.receiveUntilHealthCheck();
         assertThat(client.receiveUntilHealthCheck()).isEmpty();
-        // The next request goes there, and nothing of the first went before it.
+        // The next request goes to the other machine, which got nothing of the first request.
         client.send(request(2, "a"));
         LineConnection next = other.await("\"new\"");
-        assertThat(next.foundBy()).contains(id(2));
+        assertThat(next.matchedLine()).contains(id(2));
         next.send(message("up", 2, ",\"d\":\"d\""));
         assertThat(client.receive("\"up\"")).contains(id(2));
       }
@@ -209,7 +209,7 @@
   }
 
   @Example
-  void vmIsLostWithItsMachineAndNewMachineMayTakeTheAddress() throws Exception {
+  void vmIsLostWithItsMachineAndAnotherMachineMayGetItsAddress() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
       peers.start();
       LineConnection watch = peers.acceptWatch(3);
@@ -288,7 +288,7 @@
     }
   }
 
-  /** One idle connection used to be closed over and over while a flood took all descriptors. */
+  /** Guards against closing one idle connection repeatedly while a flood takes all descriptors. */
   @Example
   void clientConnectionsAreBoundedUnderFlood() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -320,13 +320,13 @@
               .substring(0, 40));
       watch.close();
       peers.acceptWatch(4);
-      // Open and silent, without even the position: watched again.
+      // A connection that stays open without even a position message is replaced by a new watch.
       peers.acceptWatch(4);
     }
   }
 
   @Example
-  void reloadMovesTheWatchAndMalformedFileChangesNothing() throws Exception {
+  void reloadSwitchesTheWatchAndMalformedFileChangesNothing() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers();
         LineServer other = new LineServer(0)) {
       peers.start();
@@ -355,7 +355,7 @@
       peers.connectClient().send(request(2, "a"));
       peers.machine.await(id(2)).send(message("up", 2, ",\"d\":\"d2\""));
       assertThat(peers.server.awaitStopped(Duration.ofMillis(900)))
-          .as("it serves on while the platform lets it")
+          .as("it still serves before SIGKILL is due")
           .isFalse();
       machine.send(message("up", 1, ",\"d\":\"d\""));
       assertThat(client.receive("\"up\"")).contains(id(1));
@@ -363,9 +363,9 @@
     }
   }
 
-  /** Many VMs, each with an id of its own. */
+  /** Guards against a leak per VM: many VMs, each with its own id. */
   @Example
-  void nothingIsRetainedOfVmsThatAreOver() throws Exception {
+  void nothingIsRetainedOfEndedVms() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
       peers.start();
       LineConnection client = peers.connectClient();
@@ -389,7 +389,7 @@
   }
 
   @Example
-  void malformedConfigurationIsRefusedWithReason() throws Exception {
+  void malformedConfigurationIsRejectedWithReason() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
       for (String[] bad :
           new String[][] {
--- a/src/test/java/fordridge/server/json/JsonTestPeers.java
+++ b/src/test/java/fordridge/server/json/JsonTestPeers.java
@@ -22,33 +22,36 @@
 import org.awaitility.Awaitility;
 
 /**
- * A scheduler on loopback with scripted peers: clients, one machine and a server of the machine
- * list, which do just what a test tells them.
+ * A scheduler on loopback with peers that a test scripts: clients, one machine and a machine list
+ * server.
  */
 final class JsonTestPeers implements AutoCloseable {
-  /** In place of a line: the connection was closed. */
+  /** Stands in place of a line when the connection was closed. */
   static final String CLOSED = "(closed)";
 
   private static final long TIMEOUT_SECONDS = 10;
 
-  /** One connection, its lines as they come, {@link #CLOSED} last. */
+  /** One connection and the lines received on it, {@link #CLOSED} last. */
   static final class LineConnection implements AutoCloseable {
     final Socket socket;
     final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
 
-    /** The line by which a {@link LineServer} has found this connection. */
-    private volatile String foundBy;
+    /**
+     * The line for which {@link LineServer#await} or {@link LineServer#findRequest} selected this
+     * connection.
+     */
+    private volatile String matchedLine;
 
     LineConnection(Socket socket) {
       this.socket = socket;
-      Thread t =
+      Thread thread =
           new Thread(
               () -> {
                 try (BufferedReader in =
                     new BufferedReader(
                         new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))) {
-                  for (String l = in.readLine(); l != null; l = in.readLine()) {
-                    lines.add(l);
+                  for (String line = in.readLine(); line != null; line = in.readLine()) {
+                    lines.add(line);
                   }
                   lines.add(CLOSED);
                   // Kept open: a peer may still write after the scheduler has closed its side.
@@ -57,15 +60,18 @@
                   lines.add(CLOSED);
                 }
               });
-      t.setDaemon(true);
-      t.start();
+      thread.setDaemon(true);
+      thread.start();
     }
 
     void send(String text) throws IOException {
       socket.getOutputStream().write((text + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The next line with this fragment, others are skipped; null if none comes in time. */
+    /**
+     * Returns the next line with this fragment and skips others; {@link #CLOSED} after a close,
+     * null after the timeout.
+     */
     String receive(String fragment) throws InterruptedException {
       long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
       String line = lines.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -75,12 +81,15 @@
       return line;
     }
 
-    /** The line by which this connection was found. */
-    String foundBy() {
-      return foundBy;
+    /** The line for which this connection was selected. */
+    String matchedLine() {
+      return matchedLine;
     }
 
-    /** All lines until the scheduler answers a health check: it has sent what was due before. */
+    /**
+     * Returns all lines up to the answer to a health check: output that was due before has come by
+     * then.
+     */
     List<String> receiveUntilHealthCheck() throws IOException, InterruptedException {
       send(message("hb", 0, ",\"c\":0"));
       List<String> before = new ArrayList<>();
@@ -90,10 +99,10 @@
         }
         before.add(line);
       }
-      throw new IOException("no answer to a health check; before: " + before);
+      throw new IOException("no answer to a health check; lines received: " + before);
     }
 
-    /** Closes with a reset, not in order. */
+    /** Closes the connection with a TCP reset. */
     void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
@@ -105,7 +114,7 @@
     }
   }
 
-  /** A server, and the connections that it has accepted. */
+  /** A server and the connections that it has accepted. */
   static final class LineServer implements AutoCloseable {
     final ServerSocket server;
     final BlockingQueue<LineConnection> newConnections = new LinkedBlockingQueue<>();
@@ -115,7 +124,7 @@
       server = new ServerSocket();
       server.setReuseAddress(true);
       server.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port));
-      Thread t =
+      Thread thread =
           new Thread(
               () -> {
                 try {
@@ -130,20 +139,20 @@
                   return;
                 }
               });
-      t.setDaemon(true);
-      t.start();
+      thread.setDaemon(true);
+      thread.start();
     }
 
     int port() {
       return server.getLocalPort();
     }
 
-    /** The next connection that comes, null if none does in time. */
+    /** Returns the next new connection, or null after the timeout. */
     LineConnection accept() throws InterruptedException {
       return newConnections.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** The connections that came so far. */
+    /** All connections accepted so far. */
     List<LineConnection> connections() {
       synchronized (allConnections) {
         return List.copyOf(allConnections);
@@ -151,8 +160,8 @@
     }
 
     /**
-     * The first connection on which a line with this fragment comes, null if none does in time;
-     * lines on others are left alone.
+     * Returns the first connection on which a line with this fragment arrives, and removes that
+     * line; null after the timeout. All other lines stay.
      */
     LineConnection await(String fragment) throws InterruptedException {
       long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
@@ -166,7 +175,7 @@
       return null;
     }
 
-    /** The connection on which a placement request for this VM came, null if there is none. */
+    /** Returns the connection that received a placement request for this VM, or null. */
     LineConnection findRequest(String vmId) {
       return find(line -> line.contains(vmId) && line.contains("\"new\""));
     }
@@ -176,7 +185,7 @@
         for (String line : connection.lines) {
           if (isWanted.test(line)) {
             connection.lines.remove(line);
-            connection.foundBy = line;
+            connection.matchedLine = line;
             return connection;
           }
         }
@@ -193,20 +202,22 @@
     }
   }
 
-  /** A server at which no connection comes up until it starts to accept: its backlog is full. */
+  /**
+   * A server whose full backlog keeps connections from being established until it starts to accept.
+   */
   static final class StalledServer implements AutoCloseable {
     final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    private final List<Socket> fillers = new ArrayList<>();
+    private final List<Socket> fillerSockets = new ArrayList<>();
 
     StalledServer() throws IOException {
       for (boolean full = false; !full; ) {
-        Socket s = new Socket();
+        Socket socket = new Socket();
         try {
-          s.connect(server.getLocalSocketAddress(), 200);
-          fillers.add(s);
+          socket.connect(server.getLocalSocketAddress(), 200);
+          fillerSockets.add(socket);
         } catch (java.net.SocketTimeoutException e) {
           full = true;
-          s.close();
+          socket.close();
         }
       }
     }
@@ -215,24 +226,24 @@
       return server.getLocalPort();
     }
 
-    /** Accepts connections; the first that is not one of its own fillers. */
+    /** Accepts connections, and returns the first that did not serve to fill the backlog. */
     LineConnection acceptFirst() throws IOException {
-      List<Integer> own = fillers.stream().map(Socket::getLocalPort).toList();
+      List<Integer> fillerPorts = fillerSockets.stream().map(Socket::getLocalPort).toList();
       server.setSoTimeout(10_000);
       while (true) {
-        Socket s = server.accept();
-        if (!own.contains(s.getPort())) {
-          return new LineConnection(s);
+        Socket socket = server.accept();
+        if (!fillerPorts.contains(socket.getPort())) {
+          return new LineConnection(socket);
         }
-        s.close();
+        socket.close();
       }
     }
 
     @Override
     public void close() throws IOException {
       server.close();
-      for (Socket s : fillers) {
-        s.close();
+      for (Socket socket : fillerSockets) {
+        socket.close();
       }
     }
   }
@@ -242,7 +253,7 @@
   final Path file = Files.createTempFile("configuration", ".json");
   final java.io.ByteArrayOutputStream log = new java.io.ByteArrayOutputStream();
 
-  /** Counted down once the event loop is blocked. */
+  /** Reaches zero once the event loop is blocked. */
   final CountDownLatch loopBlocked = new CountDownLatch(1);
 
   private final CountDownLatch loopUnblocked = new CountDownLatch(1);
@@ -264,7 +275,7 @@
         + "\",\"size\":1,\"up_since_ms\":0,\"unasked\":[90,90]}";
   }
 
-  /** An event of the machine list. */
+  /** A machine list event in the protocol's JSON. */
   static String listEvent(int position, boolean isComplete, String... machines) {
     return "{\"pos\":"
         + position
@@ -277,12 +288,14 @@
         + "]}}";
   }
 
-  /** The standard configuration, with the one machine listed as live. */
+  /** The standard configuration, which lists the one machine as live. */
   String configuration() {
     return configuration(machineList.port(), machineEntry("s-1", machine.port(), "SERVING"));
   }
 
-  /** A configuration with one machine, an idempotent class 'a', and 'once', that is not. */
+  /**
+   * A configuration with one machine, an idempotent class 'a' and a non-idempotent class 'once'.
+   */
   String configuration(int machineListPort, String machineEntry) {
     return "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"seed\":\"8c1f30d27a5be964\","
         + "\"limits\":{\"cores\":1,\"memory_mb\":64,\"sockets\":256},\"journal\":\"127.0.0.1:"
@@ -309,7 +322,7 @@
     server.start();
   }
 
-  /** Creates the scheduler with this configuration, not started yet. */
+  /** Creates the scheduler with this configuration without starting it. */
   void create(String configuration) throws Exception {
     Files.writeString(file, configuration);
     server =
@@ -363,12 +376,12 @@
     Awaitility.await().until(() -> log.toString(StandardCharsets.UTF_8).contains(fragment));
   }
 
-  /** Accepts the next watch of the machine list, which must ask for what follows this position. */
+  /** Accepts the next watch of the machine list and checks that it starts after this position. */
   LineConnection acceptWatch(int position) throws InterruptedException {
     return acceptWatch(machineList, position);
   }
 
-  /** As {@link #acceptWatch(int)}, at another server. */
+  /** As {@link #acceptWatch(int)}, at the given server. */
   static LineConnection acceptWatch(LineServer server, int position) throws InterruptedException {
     LineConnection watch = server.accept();
     assertThat(watch.receive("tail")).isEqualTo("tail " + position);
@@ -382,7 +395,7 @@
     }
   }
 
-  /** Opens connections to the scheduler that send nothing. */
+  /** Opens connections to the scheduler on which nothing is sent. */
   List<Socket> openIdleConnections(int count) throws IOException {
     List<Socket> sockets = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -408,13 +421,13 @@
   }
 
   static String request(
-      int number, String priorityClass, String left, String extras, String description) {
+      int number, String priorityClass, String timeLeftMillis, String extras, String description) {
     return "{\"t\":\"new\",\"ref\":\""
         + id(number)
         + "\",\"f\":{\"class\":\""
         + priorityClass
         + "\",\"left\":\""
-        + left
+        + timeLeftMillis
         + "\",\"tenant\":\"acme\",\"key\":\"7f3a9c21e0b4d655\",\"extras\":\""
         + extras
         + "\"},\"d\":\""
@@ -427,9 +440,9 @@
     return String.format("9b1f03aa%08x", number);
   }
 
-  /** A message on the VM of this number, with more top-level fields. */
-  static String message(String type, int number, String more) {
-    return "{\"t\":\"" + type + "\",\"ref\":\"" + id(number) + "\",\"f\":{}" + more + "}";
+  /** A message about the VM of this number, with additional top-level fields. */
+  static String message(String type, int number, String topLevelFields) {
+    return "{\"t\":\"" + type + "\",\"ref\":\"" + id(number) + "\",\"f\":{}" + topLevelFields + "}";
   }
 
   @Override
--- a/src/test/java/fordridge/server/json/LoweredLimitTest.java
+++ b/src/test/java/fordridge/server/json/LoweredLimitTest.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** A reload that allows fewer clients than have requests pending. */
+/** A reload lowers the connection limit below the number of clients with pending requests. */
 class LoweredLimitTest {
   private static final int CLIENTS = 40;
 
   @Example
-  void newcomerIsTurnedAwayAndTheOthersGoOn() throws Exception {
+  void newConnectionOverTheLimitIsClosedAndOthersStayOpen() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
       peers.start();
       List<LineConnection> clients = new ArrayList<>();
@@ -30,18 +30,20 @@
           peers.file, peers.configuration().replace("\"sockets\":256", "\"sockets\":64"));
       peers.server.reload();
       peers.awaitLog("configuration reloaded");
-      LineConnection newcomer = peers.connectClient();
+      LineConnection newClient = peers.connectClient();
 
-      assertThat(newcomer.receive(CLOSED)).isEqualTo(CLOSED);
+      assertThat(newClient.receive(CLOSED)).isEqualTo(CLOSED);
       assertThat(clients.get(0).receiveUntilHealthCheck())
           .allSatisfy(line -> assertThat(line).contains("\"t\":"));
       assertThat(peers.server.connectionCount()).isEqualTo(CLIENTS);
     }
   }
 
-  /** A request that is read has to be answered: that of a newcomer that is closed is not read. */
+  /**
+   * A request that is read has to be answered, so a new connection over the limit is closed unread.
+   */
   @Example
-  void requestOfANewcomerThatIsTurnedAwayIsNotRead() throws Exception {
+  void requestOnAConnectionOverTheLimitIsNotRead() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
       peers.start();
       for (int i = 0; i < CLIENTS; i++) {
@@ -54,13 +56,13 @@
       peers.blockLoopAtLog("configuration reloaded");
       peers.server.reload();
       peers.awaitLog("configuration reloaded");
-      LineConnection newcomer = peers.connectClient();
-      newcomer.send(request(CLIENTS, "a"));
-      int retained = CLIENTS;
+      LineConnection newClient = peers.connectClient();
+      newClient.send(request(CLIENTS, "a"));
+      int expectedConnections = CLIENTS;
       peers.unblockLoop();
 
-      assertThat(newcomer.receive(CLOSED)).isEqualTo(CLOSED);
-      assertThat(peers.server.connectionCount()).isEqualTo(retained);
+      assertThat(newClient.receive(CLOSED)).isEqualTo(CLOSED);
+      assertThat(peers.server.connectionCount()).isEqualTo(expectedConnections);
       assertThat(peers.machine.findRequest(JsonTestPeers.id(CLIENTS))).isNull();
     }
   }
--- a/src/test/java/fordridge/server/json/MachineListAtStartTest.java
+++ b/src/test/java/fordridge/server/json/MachineListAtStartTest.java
@@ -14,17 +14,20 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** What the machine list says between the making of the configuration and the first request. */
+/** Changes of the machine list between the creation of the configuration and the first request. */
 class MachineListAtStartTest {
-  /** Behind the warm-up, when nothing else keeps the scheduler from listening. */
-  private static final Executor SHORTLY_AFTER =
+  /**
+   * Delays the drain until after the warm-up, when the scheduler waits for nothing but the machine
+   * list.
+   */
+  private static final Executor DELAYED_EXECUTOR =
       CompletableFuture.delayedExecutor(100, TimeUnit.MILLISECONDS);
 
   @Example
   void machineDrainedDuringTheStartIsNotOfferedTheFirstRequest() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
       peers.create(peers.configuration());
-      peers.runAtLog("warmed up with", () -> SHORTLY_AFTER.execute(() -> announceDrain(peers)));
+      peers.runAtLog("warmed up with", () -> DELAYED_EXECUTOR.execute(() -> announceDrain(peers)));
 
       peers.server.start();
       LineConnection client = peers.connectClient();
--- a/src/test/java/fordridge/server/json/MalformedLineTest.java
+++ b/src/test/java/fordridge/server/json/MalformedLineTest.java
@@ -8,7 +8,7 @@
 import fordridge.server.json.JsonTestPeers.LineConnection;
 import net.jqwik.api.Example;
 
-/** A line that can't be read behind requests that were read. */
+/** A malformed line that follows requests which have been read already. */
 class MalformedLineTest {
   @Example
   void requestBeforeAMalformedLineIsAnsweredBeforeTheClose() throws Exception {
--- a/src/test/java/fordridge/server/json/ReadCycleTest.java
+++ b/src/test/java/fordridge/server/json/ReadCycleTest.java
@@ -9,15 +9,20 @@
 import java.time.Duration;
 import net.jqwik.api.Example;
 
-/** Decisions wait until clients' input is read to its end, and no longer than that. */
+/** Decisions wait until all input of clients is read, and no longer. */
 class ReadCycleTest {
-  /** What one read cycle takes at the most: four reads of 4 KiB. */
-  private static final int CYCLE_BYTES = 4 * 4096;
+  /** The maximum size of one read cycle: four reads of 4 KiB. */
+  private static final int READ_CYCLE_BYTES = 4 * 4096;
 
-  /** A connection that is taken to have more input holds decisions up for two seconds. */
-  private static final Duration LATEST = Duration.ofMillis(1500);
+  /**
+   * Below the two seconds for which a connection that seems to have more input delays decisions.
+   */
+  private static final Duration MAX_OFFER_DELAY = Duration.ofMillis(1500);
 
-  /** Whether more follows is not known from such a cycle; that nothing does has to be noticed. */
+  /**
+   * A full read cycle does not show whether more input follows; the server has to notice that none
+   * does.
+   */
   @Example
   void inputThatFillsAReadCycleExactlyDelaysNoDecision() throws Exception {
     try (JsonTestPeers peers = new JsonTestPeers()) {
@@ -29,23 +34,21 @@
       client.send(padded(request(1, "a")));
       LineConnection machine = peers.machine.await("\"new\"");
 
-      assertThat(machine.foundBy()).contains(id(1));
-      assertThat(Duration.ofNanos(System.nanoTime() - sentNanos)).isLessThan(LATEST);
+      assertThat(machine.matchedLine()).contains(id(1));
+      assertThat(Duration.ofNanos(System.nanoTime() - sentNanos)).isLessThan(MAX_OFFER_DELAY);
     }
   }
 
-  /**
-   * The line, with lines before it that mean nothing, in the bytes of a cycle, line feed included.
-   */
+  /** Pads the line with ignored lines before it to the size of a read cycle, line feed included. */
   private static String padded(String line) {
     StringBuilder text = new StringBuilder();
-    int missing = CYCLE_BYTES - 1 - line.getBytes(StandardCharsets.UTF_8).length;
+    int remainingBytes = READ_CYCLE_BYTES - 1 - line.getBytes(StandardCharsets.UTF_8).length;
     String filler = "{\"t\":\"tell\",\"ref\":\"00000000000000ff\",\"f\":{\"note\":\"%s\"}}\n";
     int overhead = String.format(filler, "").length();
-    while (missing > 0) {
-      int length = missing < 2000 + 2 * overhead ? missing : 2000;
+    while (remainingBytes > 0) {
+      int length = remainingBytes < 2000 + 2 * overhead ? remainingBytes : 2000;
       text.append(String.format(filler, "x".repeat(length - overhead)));
-      missing -= length;
+      remainingBytes -= length;
     }
     return text + line;
   }
--- a/src/test/java/fordridge/server/json/ServeScriptTest.java
+++ b/src/test/java/fordridge/server/json/ServeScriptTest.java
@@ -11,15 +11,19 @@
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
 
-/** The start script: one process from first to last, with a heap bounded by the configuration. */
+/**
+ * The start script replaces itself with the scheduler's JVM, whose heap the configuration bounds.
+ */
 class ServeScriptTest {
   private static final Path BASH = Path.of("/bin/bash");
 
-  /** What the script started: its process id, and the arguments of the JVM. */
-  private record Started(long scriptPid, long jvmPid, List<String> arguments) {}
+  /** The process ids of the script and of the JVM that it started, and the JVM's arguments. */
+  private record StartedProcess(long scriptPid, long jvmPid, List<String> arguments) {}
 
-  /** Runs the script with nothing on its path but a java that prints its pid and arguments. */
-  private static Started start(Path dir, String configuration)
+  /**
+   * Runs the script with a path that holds only a java command, which prints its pid and arguments.
+   */
+  private static StartedProcess start(Path dir, String configuration)
       throws IOException, InterruptedException {
     Path java = dir.resolve("java");
     Files.writeString(java, "#!" + BASH + "\nprintf '%s\\n' $$ \"$@\"\n");
@@ -37,18 +41,18 @@
             .lines()
             .toList();
     assertThat(process.waitFor(10, TimeUnit.SECONDS)).isTrue();
-    return new Started(
+    return new StartedProcess(
         process.pid(), Long.parseLong(output.get(0)), output.subList(1, output.size()));
   }
 
   @Example
-  void scriptBecomesTheSchedulerWithAQuarterOfTheMemoryAsHeap() throws Exception {
+  void scriptExecsTheSchedulerWithAQuarterOfTheMemoryAsHeap() throws Exception {
     Path dir = Files.createTempDirectory("serve");
     String[][] memoryAndHeapMb = {
       {"32", "10"}, {"64", "16"}, {"100", "25"}, {"192", "32"}, {"2048", "32"}
     };
     for (String[] expected : memoryAndHeapMb) {
-      Started started =
+      StartedProcess started =
           start(
               dir,
               "{\"known\":{\"entries\":[{\"x\":"
@@ -57,12 +61,14 @@
                   + expected[0]
                   + ",\"sockets\":576}}");
       String heap = expected[1] + "m";
-      assertThat(started.jvmPid()).as("exec, so the same process").isEqualTo(started.scriptPid());
+      assertThat(started.jvmPid())
+          .as("the JVM runs in the script's process")
+          .isEqualTo(started.scriptPid());
       assertThat(started.arguments())
           .contains("-Xmx" + heap, "-Xms" + heap, "fordridge.Main", "serve");
     }
     assertThat(start(dir, "").arguments())
-        .as("the scheduler itself reports what is wrong with the configuration")
+        .as("the default heap; the scheduler reports the error in the configuration")
         .contains("-Xmx16m", "serve");
   }
 }
--- a/src/test/java/fordridge/server/json/VmLogTest.java
+++ b/src/test/java/fordridge/server/json/VmLogTest.java
@@ -18,7 +18,7 @@
   private final VmLog log = new VmLog(lines::add, () -> nanos);
 
   @Example
-  void endWithoutAnAnswerNamesItsReason() {
+  void unansweredEndIsLoggedWithItsReason() {
     PlacementAttempt attempt =
         new PlacementAttempt(new Vm("vm"), new Machine(1), 0, Duration.ofSeconds(1));
     log.endedUnanswered(attempt, "s-1", Outcome.RESET, OutcomeReason.DRAINED);
