--- a/src/main/java/fordridge/grpc/ClientMessageValidator.java
+++ b/src/main/java/fordridge/grpc/ClientMessageValidator.java
@@ -3,7 +3,7 @@
 import fordridge.v1.ClientMessage;
 import fordridge.v1.Want;
 
-/** Checks the order and the ranges of a client's messages before anything acts on them. */
+/** Validates the order of a client's messages and the ranges of their fields. */
 final class ClientMessageValidator {
   private static final int MAX_NAME_CHARACTERS = 200;
   private static final int MIN_GROUP_SIZE = 2;
@@ -14,13 +14,18 @@
 
   private ClientMessageValidator() {}
 
-  /** Returns if the message is allowed now: {@code hello} comes first, and once on a stream. */
+  /**
+   * Validates a message. {@code hello} has to be the first message of a stream, and the only one of
+   * its kind.
+   *
+   * @param helloReceived whether the stream's {@code hello} was received before this message
+   */
   static void validate(ClientMessage message, boolean helloReceived)
       throws InvalidClientMessageException {
     switch (message.getBodyCase()) {
       case HELLO -> {
         if (helloReceived) {
-          throw new InvalidClientMessageException("hello", "a second one on one stream");
+          throw new InvalidClientMessageException("hello", "already received on this stream");
         }
         validateName("hello.client", message.getHello().getClient());
       }
@@ -35,7 +40,7 @@
       case ACK -> requireHello(helloReceived);
       default ->
           throw new InvalidClientMessageException(
-              "a message without a body that this placer knows");
+              "message has no body, or one that this scheduler does not know");
     }
   }
 
@@ -47,7 +52,7 @@
 
   private static void validateName(String field, String name) throws InvalidClientMessageException {
     if (name.isEmpty()) {
-      throw new InvalidClientMessageException(field, "empty");
+      throw new InvalidClientMessageException(field, "must not be empty");
     }
     validateLength(field, name);
   }
@@ -56,7 +61,7 @@
       throws InvalidClientMessageException {
     if (text.length() > MAX_NAME_CHARACTERS) {
       throw new InvalidClientMessageException(
-          field, text.length() + " characters, at most " + MAX_NAME_CHARACTERS);
+          field, text.length() + " characters, the limit is " + MAX_NAME_CHARACTERS);
     }
   }
 
@@ -64,20 +69,22 @@
     validateName("want.vm", request.getVm());
     if (!isBetween(request.getCores(), MAX_CORES)) {
       throw new InvalidClientMessageException(
-          "want.cores", request.getCores() + " is not above 0 and below a million");
+          "want.cores", request.getCores() + " is not above 0 and below 1e6");
     }
     if (!isBetween(request.getMemory(), MAX_MEMORY)) {
       throw new InvalidClientMessageException(
           "want.memory", request.getMemory() + " is not above 0 and below 1e9");
     }
     if (request.getTimeLeftUs() < 0 || request.getTimeLeftUs() > MAX_TIME_LEFT_US) {
-      throw new InvalidClientMessageException("want.time_left_us", "more than an hour");
+      throw new InvalidClientMessageException(
+          "want.time_left_us",
+          request.getTimeLeftUs() + " is not between 0 and " + MAX_TIME_LEFT_US + " (an hour)");
     }
     validateLength("want.group", request.getGroup());
     validateGroupSize(request);
   }
 
-  /** False for what is not a number, too. */
+  /** Whether the value is above 0 and below the limit; false for NaN. */
   private static boolean isBetween(double value, double limit) {
     return value > 0 && value < limit;
   }
@@ -89,7 +96,7 @@
     if (!isAllowed) {
       throw new InvalidClientMessageException(
           "want.group_size",
-          size + ", allowed: 2 to " + MAX_GROUP_SIZE + " with a group, 0 without");
+          size + " is not valid; 2 to " + MAX_GROUP_SIZE + " with a group, 0 without one");
     }
   }
 }
--- a/src/main/java/fordridge/grpc/ClientService.java
+++ b/src/main/java/fordridge/grpc/ClientService.java
@@ -15,59 +15,60 @@
 import java.util.Optional;
 
 /**
- * The clients' streams on gRPC: validates messages, hands them to the {@link RequestHandler}, and
- * writes the responses of the client's session.
+ * The gRPC service for clients: validates the messages of each stream, passes them to the {@link
+ * RequestHandler}, and writes the responses of the client's session.
  *
- * <p>Flow control: one message is requested from the transport at a time, and none while the
- * handler says that this client must wait, so that a client that sends and never reads is stopped
- * by HTTP/2's own flow control. Responses are written while the transport is ready. All of it
- * happens on the scheduler's event loop.
+ * <p>Flow control: one message at a time is requested from the transport, and none while {@link
+ * RequestHandler#mayReadMore} is false, so that HTTP/2 flow control stops a client that sends
+ * requests and never reads responses. Responses are written while the transport is ready.
+ * Everything runs on the scheduler's event loop.
  */
 public final class ClientService extends PlacingGrpc.PlacingImplBase {
-  /** The scheduler's side of the clients' streams; called on its event loop. */
+  /** Handles the events of clients' streams; called on the scheduler's event loop. */
   public interface RequestHandler {
-    /** A client opened a stream; returns the session that the stream carries. */
+    /** A client opened a stream; returns the session that the stream carries from now on. */
     ClientSession clientConnected(
         String client, String resumeToken, long lastSeen, ClientStream stream);
 
-    /** Whether the session is the one that the token was issued for. */
+    /** Whether the token was issued for this session, so that the client has resumed it. */
     boolean isResumed(ClientSession session, String resumeToken);
 
     /** A client requests the placement of a VM. */
     void placementRequested(ClientSession session, Want request);
 
-    /** A client no longer wants a VM. */
+    /** A client withdrew its request for a VM. */
     void requestWithdrawn(ClientSession session, String vm);
 
-    /** A client has taken in the responses up to a number; false if it was never sent. */
+    /** A client processed the responses up to a sequence number; false if it was never sent. */
     boolean acknowledge(ClientSession session, long sequence);
 
-    /** Whether more may be read from the client now. */
+    /** Whether another message may be read from the client now. */
     boolean mayReadMore(ClientSession session);
 
-    /** The stream ended; the session stays. */
+    /** The stream ended; the session is kept, so that the client can resume it. */
     void streamClosed(ClientSession session, ClientStream stream);
 
-    /** The name by which the scheduler introduces itself to clients. */
+    /** The scheduler's name, which is sent to clients in {@code welcome}. */
     String schedulerName();
   }
 
   /**
-   * How far the transport's limit lies above ours: the transport resets a stream over its limit
-   * without a reason, so that what is somewhat over ours is received and rejected with one.
+   * Ratio of the transport's message size limit to this service's. The transport resets a stream
+   * whose message exceeds its limit without a reason; a message between the two limits is received,
+   * and its stream ends with a status that names the size and the limit.
    */
   private static final int TRANSPORT_LIMIT_FACTOR = 4;
 
   private final RequestHandler handler;
   private final int maxMessageBytes;
 
-  /** Creates the service; a longer message than {@code maxMessageBytes} ends its stream. */
+  /** Creates the service; a message larger than {@code maxMessageBytes} ends its stream. */
   public ClientService(RequestHandler handler, int maxMessageBytes) {
     this.handler = handler;
     this.maxMessageBytes = maxMessageBytes;
   }
 
-  /** The limit of a message's size, in bytes, that the transport is to be given. */
+  /** The message size limit to configure in the transport, in bytes. */
   public static int transportLimit(int maxMessageBytes) {
     return TRANSPORT_LIMIT_FACTOR * maxMessageBytes;
   }
@@ -76,7 +77,7 @@
   public StreamObserver<ClientMessage> place(StreamObserver<PlacerMessage> responses) {
     ClientStream stream = new ClientStream((ServerCallStreamObserver<PlacerMessage>) responses);
     stream.transport.disableAutoRequest();
-    stream.transport.setOnReadyHandler(stream::pump);
+    stream.transport.setOnReadyHandler(stream::flushAndRequestMore);
     stream.transport.setOnCancelHandler(stream::closed);
     stream.transport.request(1);
     return stream;
@@ -86,13 +87,13 @@
   public final class ClientStream implements StreamObserver<ClientMessage> {
     private final ServerCallStreamObserver<PlacerMessage> transport;
 
-    /** Set by the first message, hello. */
+    /** Null until {@code hello}, the first message, is received. */
     private ClientSession session;
 
     private boolean isClosed;
 
-    /** Whether the next message is still to be requested from the transport. */
-    private boolean isReadDue;
+    /** Whether the last message was handled and the next one was not requested yet. */
+    private boolean isRequestDue;
 
     private ClientStream(ServerCallStreamObserver<PlacerMessage> transport) {
       this.transport = transport;
@@ -107,7 +108,7 @@
       if (bytes > maxMessageBytes) {
         closeWith(
             Status.RESOURCE_EXHAUSTED.withDescription(
-                "a message of " + bytes + " bytes, at most " + maxMessageBytes));
+                "message has " + bytes + " bytes, the limit is " + maxMessageBytes));
         return;
       }
       try {
@@ -117,8 +118,8 @@
         closeWith(Status.INVALID_ARGUMENT.withDescription(e.getMessage()));
         return;
       }
-      isReadDue = true;
-      pump();
+      isRequestDue = true;
+      flushAndRequestMore();
     }
 
     private void handle(ClientMessage message) throws InvalidClientMessageException {
@@ -148,8 +149,11 @@
       }
     }
 
-    /** Writes the session's responses while the transport takes them, then reads on if it may. */
-    public void pump() {
+    /**
+     * Writes the session's responses while the transport is ready, then requests the next message
+     * if one is due and the client may send more.
+     */
+    public void flushAndRequestMore() {
       if (isClosed || session == null) {
         return;
       }
@@ -159,18 +163,19 @@
         next.map(ProtoConversions::toPlacerMessage).ifPresent(transport::onNext);
         hasMore = next.isPresent();
       }
-      if (isReadDue && handler.mayReadMore(session)) {
-        isReadDue = false;
+      if (isRequestDue && handler.mayReadMore(session)) {
+        isRequestDue = false;
         transport.request(1);
       }
     }
 
-    /** The client opened another stream for the same session, which takes this one's place. */
+    /** Ends the stream, as the client opened another one for the same session. */
     public void replaced() {
-      closeWith(Status.ABORTED.withDescription("the client came back on another stream"));
+      closeWith(
+          Status.ABORTED.withDescription("the client opened another stream for this session"));
     }
 
-    /** Ends the stream with a status; the session stays. */
+    /** Ends the stream with a status; the session is kept. */
     private void closeWith(Status reason) {
       if (!isClosed) {
         closed();
@@ -189,7 +194,7 @@
 
     @Override
     public void onError(Throwable cause) {
-      // The client broke the stream off or lost its connection; either way it may resume.
+      // The client cancelled the stream or lost its connection; in both cases it may resume.
       closed();
     }
 
--- a/src/main/java/fordridge/grpc/GossipSocket.java
+++ b/src/main/java/fordridge/grpc/GossipSocket.java
@@ -18,9 +18,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gossip between schedulers, each message a datagram: late, lost or duplicated ones do no harm, and
- * a scheduler that is down delays nobody. Only datagrams from peers that the settings name are
- * read, and none longer than a gossip message may be. Receives on its event loop.
+ * Sends and receives gossip between schedulers, one datagram for each message: late, lost and
+ * duplicated messages are harmless, and a scheduler that is down delays no other. Datagrams that do
+ * not come from a configured peer, or are longer than a gossip message can be, are ignored.
+ * Receives on its event loop.
  */
 public final class GossipSocket implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger("fordridge.placer");
@@ -29,7 +30,7 @@
   private final Channel channel;
   private final List<InetSocketAddress> peers;
 
-  /** Binds the socket; {@code receiver} gets each peer's messages on the event loop. */
+  /** Binds the socket; {@code receiver} is called with the peers' messages on the event loop. */
   public GossipSocket(
       EventLoop loop,
       InetSocketAddress address,
@@ -47,7 +48,8 @@
               .syncUninterruptibly()
               .channel();
     } catch (RuntimeException e) {
-      throw new IOException("placer.notes: cannot listen at " + address + ": " + e.getMessage(), e);
+      throw new IOException(
+          "placer.notes: cannot bind the gossip socket to " + address + ": " + e.getMessage(), e);
     }
   }
 
@@ -56,7 +58,7 @@
     return ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
-  /** Sends a message to every peer; it is dropped where it cannot be written at once. */
+  /** Sends a message to every peer, or drops it if the socket cannot write it immediately. */
   public void send(String message) {
     if (!channel.isWritable()) {
       return;
--- a/src/main/java/fordridge/grpc/GrpcMachineTransport.java
+++ b/src/main/java/fordridge/grpc/GrpcMachineTransport.java
@@ -27,30 +27,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The gRPC stream to one machine: a channel for each stream, opened and closed as the {@link
- * fordridge.machine.MachineStream} decides. What happens on a stream that is not the newest is
- * ignored. Confined to its event loop.
+ * The gRPC stream to one machine, with a new channel for each stream. The {@link
+ * fordridge.machine.MachineStream} decides when it is opened and closed. Events of any stream but
+ * the newest are ignored. Confined to its event loop.
  */
 public final class GrpcMachineTransport implements MachineStreamTransport {
-  /** Receives what happens on the stream; on the event loop, in the order of the socket. */
+  /** Receives the events of the stream, on the event loop and in order of arrival. */
   public interface Listener {
     /** The machine's first message, which opens the stream. */
     void inventoryReceived(Holding inventory);
 
-    /** Any later message. */
+    /** The machine sent a message other than the first. */
     void messageReceived(FromMachine message);
 
-    /** More can be written. */
+    /** The transport can write more messages. */
     void transportReady();
 
     /** The stream broke, could not be opened, or its first message was not the inventory. */
     void connectionLost(String reason);
   }
 
-  /** Completes an offer with what the attempt itself does not know. */
-  public interface VmDescriber {
-    /** Sets the fields of the offer beyond those of the attempt. */
-    void fill(PlacementAttempt attempt, Offer.Builder offer);
+  /** Adds to an offer the fields that are not known to its attempt. */
+  public interface OfferCompleter {
+    /** Sets the remaining fields of the offer. */
+    void complete(PlacementAttempt attempt, Offer.Builder offer);
   }
 
   private static final int FLOW_CONTROL_WINDOW_BYTES = 1 << 18;
@@ -61,12 +61,12 @@
   private final Duration keepAlive;
   private final int maxMessageBytes;
   private final Listener listener;
-  private final VmDescriber describer;
+  private final OfferCompleter offerCompleter;
   private InetSocketAddress address;
   private ManagedChannel channel;
   private ClientCallStreamObserver<ToMachine> requests;
 
-  /** Numbers the streams: events of any but the newest are ignored. */
+  /** Number of the newest stream, rises with each open and close; events of others are ignored. */
   private int generation;
 
   private long lastProbeNumber;
@@ -75,7 +75,7 @@
    * Creates a transport without a stream.
    *
    * @param keepAlive interval and timeout of the keep-alive pings
-   * @param maxMessageBytes bound on a message of the machine
+   * @param maxMessageBytes size limit of a message from the machine
    */
   public GrpcMachineTransport(
       String schedulerName,
@@ -84,25 +84,24 @@
       Duration keepAlive,
       int maxMessageBytes,
       Listener listener,
-      VmDescriber describer) {
+      OfferCompleter offerCompleter) {
     this.schedulerName = schedulerName;
     this.eventLoop = eventLoop;
     this.connectTimeout = connectTimeout;
     this.keepAlive = keepAlive;
     this.maxMessageBytes = maxMessageBytes;
     this.listener = listener;
-    this.describer = describer;
+    this.offerCompleter = offerCompleter;
   }
 
-  /** Sets the address to which the next streams are opened. */
+  /** Sets the address for the streams that are opened from now on. */
   public void setAddress(InetSocketAddress newAddress) {
     address = newAddress;
   }
 
   @Override
   public void connect() {
-    // Not in the context of the client's call that may have caused this: its end would end the
-    // stream.
+    // The current gRPC context may be that of a client's call, whose end would cancel the stream.
     Context.ROOT.run(this::open);
   }
 
@@ -110,7 +109,7 @@
   public void close(String reason) {
     ClientCallStreamObserver<ToMachine> oldRequests = requests;
     ManagedChannel oldChannel = channel;
-    forgetStream();
+    clearStream();
     if (oldRequests != null) {
       oldRequests.cancel(reason, null);
     }
@@ -138,7 +137,7 @@
     if (attempt.vm.expectedLifetime != null) {
       offer.setLastsUs(ProtoConversions.toMicros(attempt.vm.expectedLifetime));
     }
-    describer.fill(attempt, offer);
+    offerCompleter.complete(attempt, offer);
     write(ToMachine.newBuilder().setOffer(offer));
   }
 
@@ -160,7 +159,7 @@
     write(ToMachine.newBuilder().setProbe(Probe.newBuilder().setNumber(lastProbeNumber)));
   }
 
-  /** Whether the report answers the newest health check. */
+  /** Whether the report answers the latest health check. */
   public boolean answersProbe(Report report) {
     return lastProbeNumber > 0 && report.getProbe() == lastProbeNumber;
   }
@@ -198,13 +197,13 @@
     }
   }
 
-  private void forgetStream() {
+  private void clearStream() {
     generation++;
     channel = null;
     requests = null;
   }
 
-  /** Hands on the events of one stream as long as it is the newest. */
+  /** Passes the events of one stream to the listener as long as the stream is the newest. */
   private final class MachineStreamObserver
       implements ClientResponseObserver<ToMachine, FromMachine> {
     private final int ownGeneration;
@@ -252,20 +251,20 @@
 
     @Override
     public void onError(Throwable error) {
-      ended(Status.fromThrowable(error));
+      streamEnded(Status.fromThrowable(error));
     }
 
     @Override
     public void onCompleted() {
-      ended(Status.OK.withDescription("the machine ended the stream"));
+      streamEnded(Status.OK.withDescription("the machine ended the stream"));
     }
 
-    private void ended(Status status) {
+    private void streamEnded(Status status) {
       if (!isCurrent()) {
         return;
       }
       ManagedChannel oldChannel = channel;
-      forgetStream();
+      clearStream();
       if (oldChannel != null) {
         oldChannel.shutdownNow();
       }
--- a/src/main/java/fordridge/grpc/InvalidClientMessageException.java
+++ b/src/main/java/fordridge/grpc/InvalidClientMessageException.java
@@ -2,7 +2,7 @@
 
 import java.io.Serial;
 
-/** A client's message that the protocol does not allow; its text names the field and the value. */
+/** A client sent a message that violates the protocol; the text names the field and the fault. */
 final class InvalidClientMessageException extends Exception {
   @Serial private static final long serialVersionUID = 1L;
 
--- a/src/main/java/fordridge/grpc/MachineMessageDispatcher.java
+++ b/src/main/java/fordridge/grpc/MachineMessageDispatcher.java
@@ -16,35 +16,35 @@
 import java.util.List;
 
 /**
- * Turns a machine's messages into calls of its {@link MachineStream}, and into typed reports for
- * the scheduler. Stateless.
+ * Translates a machine's messages into calls of its {@link MachineStream} and into reports for the
+ * scheduler. Stateless.
  */
 public final class MachineMessageDispatcher {
-  /** Receives what does not concern the stream's attempts. */
+  /** Receives the reports and events that do not change the state of an attempt. */
   public interface Listener {
-    /** The machine reported its load, by itself or with another message. */
+    /** The machine reported its load, in a separate message or as part of another. */
     void loadReported(LoadReport report);
 
-    /** The report was a message of its own and answers no health check. */
+    /** The load report was a separate message and does not answer a health check. */
     void loadReportCompleted();
 
     /** The machine reported on one VM. */
     void vmReported(AttemptId attemptId, VmReportKind kind, double value);
 
-    /** The machine sent what the protocol does not allow. */
+    /** The machine sent a message that violates the protocol. */
     void protocolViolated(String reason);
   }
 
   private MachineMessageDispatcher() {}
 
-  /** Hands the inventory on to the stream. */
+  /** Passes the inventory to the stream. */
   public static void dispatchInventory(Holding inventory, MachineStream stream, Duration now) {
     List<ReportedVm> reportedVms =
         inventory.getHeldList().stream().map(ProtoConversions::toReportedVm).toList();
     stream.inventoryReceived(inventory.getIncarnation(), reportedVms, now);
   }
 
-  /** Hands any later message on to the stream or to the listener. */
+  /** Passes any other message to the stream or to the listener. */
   public static void dispatch(
       FromMachine message,
       MachineStream stream,
@@ -61,7 +61,7 @@
       case REPORT -> loadReported(message.getReport(), stream, transport, listener, now);
       default ->
           listener.protocolViolated(
-              "a message out of order or without a known body: " + message.getBodyCase());
+              "message out of order, or without a known body: " + message.getBodyCase());
     }
   }
 
--- a/src/main/java/fordridge/grpc/OperatorService.java
+++ b/src/main/java/fordridge/grpc/OperatorService.java
@@ -14,20 +14,21 @@
 import java.util.Optional;
 
 /**
- * Operators' queries on constraints: where VMs of a kind may go and why not elsewhere, and which
- * running VMs violate a constraint or could be placed better. On the scheduler's event loop.
+ * The gRPC service for operators' queries on constraints: on which machines a VM may be placed and
+ * why not on the others, and which running VMs violate a constraint or could be placed better. Runs
+ * on the scheduler's event loop.
  */
 public final class OperatorService extends OperatingGrpc.OperatingImplBase {
   /**
-   * A VM with an attempt in flight or running.
+   * A VM that runs or has an attempt in flight, or a hypothetical one.
    *
-   * @param attempt what the constraint index counts it by
-   * @param id the scheduler's id of the VM, CLIENT/VM
-   * @param machine the name of the attempt's machine
+   * @param attempt the VM's attempt, by which the constraint index counts it; null if hypothetical
+   * @param id the scheduler's id of the VM, CLIENT/VM; empty if hypothetical
+   * @param machine the name of the attempt's machine; empty if hypothetical
    */
   public record RunningVm(Object attempt, String id, VmAttributes attributes, String machine) {}
 
-  /** What the queries read of a scheduler; called on its event loop. */
+  /** The scheduler's state that queries read; called on the scheduler's event loop. */
   public interface ClusterView {
     /** The constraints in force. */
     ConstraintIndex constraints();
@@ -35,13 +36,13 @@
     /** The version of the constraints in force. */
     int constraintsVersion();
 
-    /** The machines listed now. */
+    /** Names of the machines in the current machine list. */
     List<String> machineNames();
 
     /** The VM and the machine of an attempt that the constraint index counts. */
     RunningVm describeAttempt(Object attempt);
 
-    /** The VM of that id, CLIENT/VM, if it runs or has an attempt in flight. */
+    /** The VM with that id, CLIENT/VM, if it runs or has an attempt in flight. */
     Optional<RunningVm> findRunningVm(String id);
   }
 
@@ -54,11 +55,12 @@
 
   @Override
   public void explain(ExplainRequest request, StreamObserver<ExplainReply> responses) {
-    Optional<RunningVm> vm = subject(request);
+    Optional<RunningVm> vm = requestedVm(request);
     if (vm.isEmpty()) {
       responses.onError(
           Status.NOT_FOUND
-              .withDescription("no VM '" + request.getVm() + "' runs here")
+              .withDescription(
+                  "no VM '" + request.getVm() + "' runs or is being placed by this scheduler")
               .asRuntimeException());
       return;
     }
@@ -66,8 +68,8 @@
     responses.onCompleted();
   }
 
-  /** The VM that the request names, or a hypothetical one of the kind that it describes. */
-  private Optional<RunningVm> subject(ExplainRequest request) {
+  /** The VM that the request names, or a hypothetical one with the attributes that it gives. */
+  private Optional<RunningVm> requestedVm(ExplainRequest request) {
     if (!request.getVm().isEmpty()) {
       return cluster.findRunningVm(request.getVm());
     }
@@ -101,7 +103,7 @@
         .setMachine(machine)
         .setAllowed(constraints.isAllowed(vm.attributes(), machine))
         .setUnfit(constraints.preferencePenalty(vm.attributes(), machine))
-        .addAllReasons(texts(constraints.explainRejection(vm.attributes(), machine)))
+        .addAllReasons(descriptions(constraints.explainRejection(vm.attributes(), machine)))
         .build();
   }
 
@@ -110,11 +112,11 @@
     return Misfit.newBuilder()
         .setVm(vm.id())
         .setMachine(vm.machine())
-        .addAllReasons(texts(reasons))
+        .addAllReasons(descriptions(reasons))
         .build();
   }
 
-  private static List<String> texts(List<RejectionReason> reasons) {
+  private static List<String> descriptions(List<RejectionReason> reasons) {
     return reasons.stream().map(RejectionReason::toString).toList();
   }
 }
--- a/src/main/java/fordridge/grpc/ProtoConversions.java
+++ b/src/main/java/fordridge/grpc/ProtoConversions.java
@@ -18,13 +18,13 @@
 import fordridge.v1.Refused;
 import java.time.Duration;
 
-/** Converts between the protocol's messages and the types behind them. */
+/** Converts between protocol messages and the types of the scheduler. */
 final class ProtoConversions {
   private static final long NANOS_PER_MICRO = 1000;
 
   private ProtoConversions() {}
 
-  /** Whole microseconds; 0 for a negative duration. */
+  /** The duration in whole microseconds, rounded down; 0 for a negative one. */
   static long toMicros(Duration duration) {
     return duration.isNegative() ? 0 : duration.toNanos() / NANOS_PER_MICRO;
   }
--- a/src/main/java/fordridge/server/grpc/AttemptTracker.java
+++ b/src/main/java/fordridge/server/grpc/AttemptOutcomeHandler.java
@@ -19,29 +19,32 @@
 import java.util.Optional;
 
 /**
- * Takes in what becomes of placement attempts: tells the scheduler and the constraints, and
- * notifies the clients. What the machines' streams conclude while an input is processed is queued
- * behind it. Confined to the event loop.
+ * Handles the outcomes of placement attempts: reports each to the scheduler and to the constraint
+ * state, and sends the client its response. Outcomes that a machine's stream reports while an input
+ * is being processed are queued until that input has been processed. Confined to the event loop.
  */
-final class AttemptTracker implements MachineStream.Listener {
-  private static final String OVER_UNANSWERED = "the VM was over before its acceptance came";
+final class AttemptOutcomeHandler implements MachineStream.Listener {
+  private static final String ENDED_BEFORE_ACCEPTANCE =
+      "the VM ended before its acceptance arrived";
 
   private final InstanceContext context;
 
-  AttemptTracker(InstanceContext context) {
+  AttemptOutcomeHandler(InstanceContext context) {
     this.context = context;
   }
 
   /**
-   * Waits no longer for an attempt. If its offer was never written, it is known not to have run;
-   * otherwise it ends with the given outcome.
+   * Stops waiting for an attempt and withdraws it from its machine. It ends as {@link
+   * Outcome#UNREACHABLE}, which proves that the VM never ran, if its offer was not written;
+   * otherwise with the given outcome.
    */
   void abandon(PlacementAttempt attempt, Outcome outcome) {
     MachineHandle machine = context.machines.get(attempt.machine);
-    boolean neverWritten = machine.stream().cancel(attempt, context.loop.now());
-    // Counts at its machine until that has confirmed the withdrawal, see attemptReleased.
-    attempt.mayStillRun = !neverWritten;
-    attemptEnded(attempt, neverWritten ? Outcome.UNREACHABLE : outcome, OutcomeReason.UNSPECIFIED);
+    boolean neverSent = machine.stream().cancel(attempt, context.loop.now());
+    // It counts against its machine until the machine confirms the cancellation; see
+    // attemptReleased.
+    attempt.mayStillRun = !neverSent;
+    attemptEnded(attempt, neverSent ? Outcome.UNREACHABLE : outcome, OutcomeReason.UNSPECIFIED);
     machine.scheduleTick();
   }
 
@@ -53,19 +56,19 @@
   @Override
   public boolean confirmSend(PlacementAttempt attempt) {
     Optional<OfferObstacle> obstacle = context.scheduler.inputs().scheduler.confirmSend(attempt);
-    obstacle.ifPresent(found -> logWithdrawal(attempt, found));
+    obstacle.ifPresent(offerObstacle -> logWithdrawal(attempt, offerObstacle));
     return obstacle.isEmpty();
   }
 
   @Override
   public void attemptAccepted(PlacementAttempt attempt, boolean isRunning) {
-    context.loop.processBehind(
+    context.loop.enqueue(
         () -> {
           if (!attempt.isInFlight() || attempt.vm.isFinished) {
             return;
           }
           if (attempt.acceptedAt == null) {
-            firstAccepted(attempt);
+            reportAcceptance(attempt);
           }
           if (isRunning && context.settings().cluster().confirmsOnAcceptance()) {
             context.scheduler.vmReported(attempt, Scheduler::vmStarted);
@@ -73,7 +76,7 @@
         });
   }
 
-  private void firstAccepted(PlacementAttempt attempt) {
+  private void reportAcceptance(PlacementAttempt attempt) {
     Vm vm = attempt.vm;
     Duration startLatency = context.loop.now().minus(vm.arrivedAt);
     context.metrics.vmAccepted(startLatency);
@@ -83,7 +86,7 @@
     }
     String machine = context.machines.nameOf(attempt.machine);
     if (context.groups.isMember(vm)) {
-      String name = context.clients.nameAtClient(vm);
+      String name = context.clients.requestName(vm);
       context.groups.memberAccepted(vm, new Accepted(name, machine, attempt.number, startLatency));
     } else {
       context.metrics.responseSent(ClientResponse.Kind.ACCEPTED);
@@ -94,27 +97,27 @@
 
   @Override
   public void attemptEnded(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
-    context.loop.processBehind(
+    context.loop.enqueue(
         () -> {
           if (attempt.isInFlight()) {
-            end(attempt, outcome, reason);
+            recordEnd(attempt, outcome, reason);
           }
         });
   }
 
-  private void end(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
+  private void recordEnd(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {
     boolean wasAccepted = attempt.acceptedAt != null;
-    boolean isOverUnanswered = !wasAccepted && isOver(outcome, reason);
-    if (wasAccepted || isOverUnanswered || isKnownNotToRun(outcome)) {
+    boolean endedBeforeAcceptance = !wasAccepted && hasRunAndEnded(outcome, reason);
+    if (wasAccepted || endedBeforeAcceptance || isKnownNotToRun(outcome)) {
       context.constraints.attemptReleased(attempt);
     } else {
       context.constraints.attemptOutcomeUnknown(attempt);
     }
     context.metrics.attemptFinished(outcome);
     logEnd(attempt, outcome, reason);
-    context.scheduler.attemptEnded(attempt, outcome, reason, wasAccepted || isOverUnanswered);
-    if (isOverUnanswered) {
-      failUnanswered(attempt.vm);
+    context.scheduler.attemptEnded(attempt, outcome, reason, wasAccepted || endedBeforeAcceptance);
+    if (endedBeforeAcceptance) {
+      failEndedBeforeAcceptance(attempt.vm);
     }
     if (wasAccepted && !context.groups.memberTerminated(attempt.vm)) {
       TerminationCause cause = terminationCause(outcome, reason);
@@ -123,18 +126,21 @@
     context.forget(attempt.vm);
   }
 
-  /** Whether the machine said of an attempt that its VM has run and is over. */
-  private static boolean isOver(Outcome outcome, OutcomeReason reason) {
+  /** Whether the machine reported that the attempt's VM has run and has ended. */
+  private static boolean hasRunAndEnded(Outcome outcome, OutcomeReason reason) {
     return outcome == Outcome.DONE || (outcome == Outcome.RESET && reason.isOfRunningVm());
   }
 
-  /** The VM is over and its acceptance never came: it must not be placed again. */
-  private void failUnanswered(Vm vm) {
+  /**
+   * Fails a VM that ended before its acceptance arrived: it has run, so it must not be placed
+   * again.
+   */
+  private void failEndedBeforeAcceptance(Vm vm) {
     if (context.groups.isMember(vm)) {
-      context.groups.memberFailed(vm, OVER_UNANSWERED);
+      context.groups.memberFailed(vm, ENDED_BEFORE_ACCEPTANCE);
     } else {
       context.metrics.responseSent(ClientResponse.Kind.FAILED);
-      context.clients.respond(vm, name -> new Failed(name, OVER_UNANSWERED));
+      context.clients.respond(vm, name -> new Failed(name, ENDED_BEFORE_ACCEPTANCE));
     }
   }
 
@@ -182,7 +188,7 @@
 
   @Override
   public void attemptReleased(PlacementAttempt attempt) {
-    context.loop.processBehind(
+    context.loop.enqueue(
         () -> {
           if (!attempt.isInFlight()) {
             context.constraints.attemptReleased(attempt);
@@ -198,8 +204,8 @@
     MachineHandle handle = context.machines.get(machine);
     if (context.scheduler.inputs().vm(reported.attemptId().vmId()) != null
         || !context.settings().priorityClasses().containsKey(reported.priorityClass())) {
-      // Requested again before its machine reconnected, or of a priority class that is no longer
-      // configured: it would belong to no client.
+      // Not adopted: either the client requested the VM again before its machine reconnected, so
+      // that another VM has this id, or its priority class is no longer configured.
       handle.transport().cancel(reported.attemptId());
       return;
     }
@@ -225,7 +231,7 @@
   @Override
   public void probeCompleted(
       Machine machine, boolean healthy, boolean withLoadReport, Duration roundTrip) {
-    context.loop.processBehind(
+    context.loop.enqueue(
         () ->
             context.scheduler.probeCompleted(
                 machine, context.machines.nameOf(machine), healthy, withLoadReport));
--- a/src/main/java/fordridge/server/grpc/ClientConnections.java
+++ b/src/main/java/fordridge/server/grpc/ClientConnections.java
@@ -16,9 +16,9 @@
 import java.util.function.Function;
 
 /**
- * The clients of one instance: their sessions, the streams that carry them, and which client each
- * VM belongs to. Responses are written when the input that caused them is processed. Confined to
- * the event loop.
+ * The clients of one instance: their sessions, the stream that currently carries each session, and
+ * the client that owns each VM. Responses are written once the input that caused them has been
+ * processed. Confined to the event loop.
  */
 final class ClientConnections {
   private static final Duration EXPIRY_CHECK_INTERVAL = Duration.ofSeconds(1);
@@ -43,7 +43,7 @@
         settings.sessions().retention());
   }
 
-  /** Begins to expire the sessions of clients that stay away. */
+  /** Starts the periodic removal of sessions whose clients have been disconnected for too long. */
   void startExpiry() {
     context.loop.scheduleAtFixedRate(
         EXPIRY_CHECK_INTERVAL, () -> sessions.expireSessions(context.loop.now()));
@@ -53,8 +53,9 @@
     return sessions;
   }
 
-  /** The stream carries the client's session from now on, in the place of any earlier one. */
-  ClientSession connected(String client, String resumeToken, long lastSeen, ClientStream stream) {
+  /** Attaches a stream to the client's session, and closes the stream that carried it before. */
+  ClientSession clientConnected(
+      String client, String resumeToken, long lastSeen, ClientStream stream) {
     context.loop.refreshNow();
     ClientSession session = sessions.clientConnected(client, resumeToken, lastSeen);
     ClientStream previous = streams.put(session, stream);
@@ -65,14 +66,14 @@
     return session;
   }
 
-  void disconnected(ClientSession session, ClientStream stream) {
+  void clientDisconnected(ClientSession session, ClientStream stream) {
     if (streams.remove(session, stream)) {
       context.loop.refreshNow();
       sessions.clientDisconnected(session, context.loop.now());
     }
   }
 
-  /** Remembers whose VM it is. */
+  /** Records which client owns the VM. */
   void register(Vm vm, String client) {
     clientByVm.put(vm, client);
   }
@@ -85,35 +86,36 @@
     return Optional.ofNullable(clientByVm.get(vm));
   }
 
-  /** The id under which a client's VM is known to the scheduler. */
-  static String vmId(String client, String nameAtClient) {
-    return client + "/" + nameAtClient;
+  /** The scheduler's id of a client's VM: CLIENT/VM. */
+  static String vmId(String client, String requestName) {
+    return client + "/" + requestName;
   }
 
-  /** The VM's name as its client knows it. */
-  String nameAtClient(Vm vm) {
-    return nameAtClient(vm, clientByVm.get(vm));
+  /** The name that the client gave to its request for the VM: the id without the client. */
+  String requestName(Vm vm) {
+    return requestName(vm, clientByVm.get(vm));
   }
 
-  private static String nameAtClient(Vm vm, String client) {
+  private static String requestName(Vm vm, String client) {
     return vm.id.substring(client.length() + 1);
   }
 
   /** Whether the VM's request has no final response yet. */
   boolean isPending(Vm vm) {
-    return clientOf(vm).filter(c -> sessions.isPending(c, nameAtClient(vm, c))).isPresent();
+    return clientOf(vm).filter(c -> sessions.isPending(c, requestName(vm, c))).isPresent();
   }
 
   /**
-   * Sends a response, given the VM's name at its client; without effect for a VM that no client
-   * waits for.
+   * Sends a response to the VM's client; without effect for a VM that belongs to no client.
+   *
+   * @param responseForName creates the response from the request's name
    */
   void respond(Vm vm, Function<String, ClientResponse> responseForName) {
     clientOf(vm).ifPresent(client -> respond(client, vm, responseForName));
   }
 
   private void respond(String client, Vm vm, Function<String, ClientResponse> responseForName) {
-    ClientResponse response = responseForName.apply(nameAtClient(vm, client));
+    ClientResponse response = responseForName.apply(requestName(vm, client));
     if (!sessions.respond(client, response, context.loop.now())) {
       context
           .log
@@ -122,37 +124,37 @@
           .addKeyValue("response", response.kind())
           .log("response dropped: the request is settled");
     }
-    writeSoon(client);
+    scheduleWrite(client);
   }
 
-  /** A VM of an earlier incarnation was found on a machine. */
+  /** A machine runs a VM of an earlier incarnation: its client is sent the acceptance. */
   void vmAdopted(Vm vm, String client, String machine, int attemptNumber) {
     register(vm, client);
-    boolean isClientsName = vm.id.startsWith(vmId(client, ""));
-    String name = isClientsName ? nameAtClient(vm, client) : vm.id;
+    boolean hasClientPrefix = vm.id.startsWith(vmId(client, ""));
+    String name = hasClientPrefix ? requestName(vm, client) : vm.id;
     ClientResponse.Accepted accepted =
         new ClientResponse.Accepted(name, machine, attemptNumber, Duration.ZERO);
     sessions.vmAdopted(client, accepted, context.loop.now());
-    writeSoon(client);
+    scheduleWrite(client);
   }
 
-  /** The session has, or may have, something to write when the current input is processed. */
-  void writeSoon(ClientSession session) {
+  /** Schedules the session's responses to be written once the current input is processed. */
+  void scheduleWrite(ClientSession session) {
     sessionsToWrite.add(session);
   }
 
-  private void writeSoon(String client) {
-    streams.keySet().stream().filter(s -> s.client().equals(client)).forEach(this::writeSoon);
+  private void scheduleWrite(String client) {
+    streams.keySet().stream().filter(s -> s.client().equals(client)).forEach(this::scheduleWrite);
   }
 
-  /** Writes what the sessions have to say, as far as their streams take it. */
+  /** Writes the responses of the scheduled sessions, as far as their streams are ready. */
   void writeResponses() {
     while (!sessionsToWrite.isEmpty()) {
       ClientSession session = sessionsToWrite.iterator().next();
       sessionsToWrite.remove(session);
       ClientStream stream = streams.get(session);
       if (stream != null) {
-        stream.pump();
+        stream.flushAndRequestMore();
       }
     }
   }
--- a/src/main/java/fordridge/server/grpc/ClientRequestIntake.java
+++ b/src/main/java/fordridge/server/grpc/ClientRequestIntake.java
@@ -21,14 +21,14 @@
 import java.util.Optional;
 
 /**
- * Takes in what clients send: admits placement requests or rejects them at once, hands them to the
- * scheduler, and withdraws them. Confined to the event loop.
+ * Handles the messages of clients: admits placement requests or rejects them at once, passes
+ * admitted ones to the scheduler, and withdraws them. Confined to the event loop.
  */
 final class ClientRequestIntake implements ClientService.RequestHandler {
   private final InstanceContext context;
 
-  /** By id, the admitted VMs that the scheduler has not been asked to place yet. */
-  private final Map<String, Vm> waiting = new HashMap<>();
+  /** Admitted VMs that have not been passed to the scheduler yet, by id. */
+  private final Map<String, Vm> unscheduledVms = new HashMap<>();
 
   ClientRequestIntake(InstanceContext context) {
     this.context = context;
@@ -42,7 +42,7 @@
   @Override
   public ClientSession clientConnected(
       String client, String resumeToken, long lastSeen, ClientStream stream) {
-    return context.clients.connected(client, resumeToken, lastSeen, stream);
+    return context.clients.clientConnected(client, resumeToken, lastSeen, stream);
   }
 
   @Override
@@ -62,7 +62,7 @@
 
   @Override
   public void streamClosed(ClientSession session, ClientStream stream) {
-    context.clients.disconnected(session, stream);
+    context.clients.clientDisconnected(session, stream);
   }
 
   @Override
@@ -77,7 +77,7 @@
 
   private void receive(ClientSession session, Want request) {
     ClientSessions.Admission admission = sessions().requestReceived(session, request.getVm());
-    context.clients.writeSoon(session);
+    context.clients.scheduleWrite(session);
     if (admission == ClientSessions.Admission.DUPLICATE) {
       return;
     }
@@ -89,10 +89,10 @@
     }
     Vm vm = newVm(session, request, priorityClass);
     context.clients.register(vm, session.client());
-    scheduleBackstop(vm, session, request.getVm());
+    scheduleResponseTimeout(vm, session, request.getVm());
     boolean mayAlreadyRun = !priorityClass.isIdempotent() && session.isFromEarlierIncarnation();
     if (request.getGroup().isEmpty()) {
-      waiting.put(vm.id, vm);
+      unscheduledVms.put(vm.id, vm);
       scheduleOnceReconciled(vm, session, request.getVm(), mayAlreadyRun);
     } else {
       joinGroup(vm, session, request, priorityClass, mayAlreadyRun);
@@ -102,16 +102,16 @@
   private Optional<String> rejectionReason(
       ClientSessions.Admission admission, PriorityClassSettings priorityClass, Want request) {
     if (admission == ClientSessions.Admission.LIMIT_EXCEEDED) {
-      return Optional.of("too many VMs in hand");
+      return Optional.of("too many requests are pending");
     }
     if (context.shutdown.hasStarted()) {
-      return Optional.of("the placer is stopping");
+      return Optional.of("the scheduler is shutting down");
     }
     if (priorityClass == null) {
       return Optional.of(
           "flavour '"
               + request.getFlavour()
-              + "' is not one of "
+              + "' is not configured; configured flavours: "
               + settings().priorityClasses().keySet());
     }
     return context.constraints.unsatisfiableReason(request);
@@ -140,16 +140,19 @@
     return vm;
   }
 
-  /** The client's deadline, less what the response and a late event loop may take of it. */
+  /**
+   * The scheduler's deadline for the VM: the client's, less the time that the response may take and
+   * the time that the request may have waited for the event loop to read it.
+   */
   private Duration deadline(Want request, PriorityClassSettings priorityClass) {
     Duration startDeadline = priorityClass.startDeadline();
     Duration timeLeft =
         request.getTimeLeftUs() == 0 ? startDeadline : ofMicros(request.getTimeLeftUs());
-    Duration bounded = timeLeft.compareTo(startDeadline) > 0 ? startDeadline : timeLeft;
+    Duration boundedTimeLeft = timeLeft.compareTo(startDeadline) > 0 ? startDeadline : timeLeft;
     return context
         .loop
         .now()
-        .plus(bounded)
+        .plus(boundedTimeLeft)
         .minus(settings().instance().responseMargin())
         .minus(context.loop.lagAllowance());
   }
@@ -159,16 +162,19 @@
   }
 
   /**
-   * Should the scheduler fail on an input, no client is left without a response: this one promises
-   * nothing, and so is always allowed.
+   * Schedules a failed response for the case that the VM has no final response after the
+   * scheduler's deadline, as when the scheduler threw on an input; it is sent before the client's
+   * own deadline. A failed response is always correct, as it makes no claim about whether the VM
+   * ran.
    */
-  private void scheduleBackstop(Vm vm, ClientSession session, String name) {
+  private void scheduleResponseTimeout(Vm vm, ClientSession session, String name) {
     Duration responseMargin = settings().instance().responseMargin();
     context.loop.schedule(
         vm.deadline.minus(context.loop.now()).plus(responseMargin.dividedBy(2)),
         () -> {
           if (sessions().isPending(session.client(), name)) {
-            context.clients.respond(vm, its -> new Failed(its, "no decision in time"));
+            context.clients.respond(
+                vm, requestName -> new Failed(requestName, "no decision before the deadline"));
             context
                 .log
                 .error()
@@ -179,8 +185,8 @@
   }
 
   /**
-   * Hands a VM to the scheduler; one that an earlier incarnation may have started, and that must
-   * not run twice, only once every machine has sent its inventory.
+   * Passes a VM to the scheduler. A VM that must not run twice, and that an earlier incarnation may
+   * have started, waits until every machine has sent its inventory, and fails at its deadline.
    */
   private void scheduleOnceReconciled(
       Vm vm, ClientSession session, String name, boolean mayAlreadyRun) {
@@ -192,23 +198,23 @@
           settings().machineList().pollInterval(),
           () -> scheduleOnceReconciled(vm, session, name, true));
     } else {
-      waiting.remove(vm.id, vm);
-      giveUpUnreconciled(vm, isPending);
+      unscheduledVms.remove(vm.id, vm);
+      unreconciledAtDeadline(vm, isPending);
     }
   }
 
-  private void giveUpUnreconciled(Vm vm, boolean isPending) {
+  private void unreconciledAtDeadline(Vm vm, boolean isPending) {
     if (isPending) {
       context.metrics.responseSent(ClientResponse.Kind.FAILED);
-      failUnreconciled(vm, "; not every machine has said what it holds");
+      failUnreconciled(vm, "; not every machine has sent its inventory");
     } else {
       context.clients.unregister(vm);
     }
   }
 
-  /** Unless it was withdrawn, or answered at its deadline, while it waited. */
+  /** Passes the VM to the scheduler, unless it was withdrawn or failed while it waited. */
   private void schedule(Vm vm) {
-    if (waiting.remove(vm.id, vm) && context.clients.isPending(vm)) {
+    if (unscheduledVms.remove(vm.id, vm) && context.clients.isPending(vm)) {
       context.scheduler.vmRequested(vm);
     } else {
       context.clients.unregister(vm);
@@ -216,7 +222,7 @@
   }
 
   private void failUnreconciled(Vm vm, String detail) {
-    String reason = "it may run since before this placer's start" + detail;
+    String reason = "the VM may have been started before this scheduler's restart" + detail;
     context.clients.respond(vm, name -> new Failed(name, reason));
     context.clients.unregister(vm);
   }
@@ -250,7 +256,7 @@
     String id = ClientConnections.vmId(session.client(), name);
     Vm vm = context.scheduler.inputs().vm(id);
     sessions().requestWithdrawn(session, name, context.loop.now());
-    waiting.remove(id);
+    unscheduledVms.remove(id);
     withdrawFromGroup(id, vm != null);
     if (vm == null || vm.isFinished) {
       return;
@@ -273,7 +279,7 @@
     }
     context.groups.memberWithdrawn(member.get());
     if (!isKnownToScheduler) {
-      context.groups.drop(member.get());
+      context.groups.remove(member.get());
       context.clients.unregister(member.get());
     }
   }
--- a/src/main/java/fordridge/server/grpc/ClusterOperatorView.java
+++ b/src/main/java/fordridge/server/grpc/ClusterOperatorView.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What operators' queries read of an instance. Confined to the event loop. */
+/** The state of an instance that operators' queries read. Confined to the event loop. */
 final class ClusterOperatorView implements OperatorService.ClusterView {
   private final InstanceContext context;
 
--- a/src/main/java/fordridge/server/grpc/ConstraintState.java
+++ b/src/main/java/fordridge/server/grpc/ConstraintState.java
@@ -23,8 +23,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The tenants' constraints in force at one instance, with the machines and the attempts that they
- * count. Confined to the event loop.
+ * The tenants' constraints in force at one instance, and the machines and attempts to which they
+ * apply. Confined to the event loop.
  */
 final class ConstraintState {
   private final InstanceContext context;
@@ -38,11 +38,11 @@
     try {
       index = new ConstraintIndex(List.of(), context.settings().totalSchedulers());
     } catch (UnsatisfiableConstraintsException e) {
-      throw new IllegalStateException("an empty set of constraints can be satisfied", e);
+      throw new IllegalStateException("an empty set of constraints must be satisfiable", e);
     }
   }
 
-  /** What constraints are about in a VM. */
+  /** The attributes of a VM that constraints select by. */
   static VmAttributes attributesOf(Vm vm) {
     return new VmAttributes(vm.tenant, vm.priorityClass, vm.service);
   }
@@ -55,12 +55,14 @@
     return version;
   }
 
-  /** Names of the machines listed now. */
+  /** Names of the machines in the current machine list. */
   List<String> machineNames() {
     return List.copyOf(topology.keySet());
   }
 
-  /** A new set holds for all that is placed from here on; what runs and violates it is logged. */
+  /**
+   * Applies a new set of constraints to future placements, and logs running VMs that violate it.
+   */
   void constraintsReceived(List<PlacementConstraint> constraints, int newVersion) {
     try {
       index = index.withConstraints(constraints, context.settings().totalSchedulers());
@@ -78,7 +80,8 @@
     index
         .findViolatingPlacements()
         .forEach(
-            (attempt, reasons) -> logViolation((PlacementAttempt) attempt, nameOf(reasons.get(0))));
+            (attempt, reasons) ->
+                logViolation((PlacementAttempt) attempt, constraintName(reasons.get(0))));
     context
         .log
         .info()
@@ -99,13 +102,13 @@
         .log("running vm violates a constraint");
   }
 
-  private static String nameOf(RejectionReason reason) {
+  private static String constraintName(RejectionReason reason) {
     return reason.constraint().map(PlacementConstraint::name).orElse(reason.description());
   }
 
   /**
-   * The index is updated only when machines came, went, were relabelled or drain, as it counts
-   * everything anew.
+   * Updates the index if machines were added, removed or relabelled, or if the set of draining ones
+   * changed; other lists are skipped, as the index recounts all attempts on each update.
    */
   void machineListReceived(MachineListSource.Update list) {
     if (updateTopology(list)) {
@@ -142,7 +145,10 @@
         : drainingMachines.remove(entry.name());
   }
 
-  /** How much speaks against the machine: infinite where a constraint or its group forbids it. */
+  /**
+   * The penalty of placing the VM on the machine: infinite if a constraint or the plan of the VM's
+   * group forbids it.
+   */
   double penalty(Vm vm, Machine machine) {
     if (index.constraints().isEmpty()) {
       return 0;
@@ -160,12 +166,15 @@
         + index.preferencePenalty(attributes, name);
   }
 
-  /** Whether any constraint is about such VMs. */
+  /** Whether any constraint applies to the VM. */
   boolean isConstrained(Vm vm) {
     return index.hasConstraintsFor(attributesOf(vm));
   }
 
-  /** Why no listed machine can take the VM: the constraints that can't be met together. */
+  /**
+   * The constraints that make the request unsatisfiable, as no listed machine meets all of them;
+   * empty if some machine does.
+   */
   Optional<String> unsatisfiableReason(Want request) {
     List<PlacementConstraint> conflicting =
         index.findUnsatisfiableConstraints(
@@ -180,18 +189,18 @@
                 .collect(Collectors.joining(" and ")));
   }
 
-  /** An attempt occupies its machine from now on. */
+  /** Counts an attempt on its machine from now on. */
   void attemptSent(PlacementAttempt attempt) {
     String machine = context.machines.nameOf(attempt.machine);
     index.attemptSent(attempt, attributesOf(attempt.vm), machine);
   }
 
-  /** An attempt is known not to run any more. */
+  /** Stops counting an attempt, which is known not to run any more. */
   void attemptReleased(PlacementAttempt attempt) {
     index.attemptEnded(attempt);
   }
 
-  /** An attempt ended and may still run: it counts until it is released. */
+  /** Keeps counting an attempt that ended but may still run, until it is released. */
   void attemptOutcomeUnknown(PlacementAttempt attempt) {
     index.attemptOutcomeUnknown(attempt);
   }
--- a/src/main/java/fordridge/server/grpc/ConstraintUpdater.java
+++ b/src/main/java/fordridge/server/grpc/ConstraintUpdater.java
@@ -27,17 +27,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches tenants' constraints, in a file or in the machine list's store, and the settings in that
- * store. A version that cannot be read or satisfied is rejected as a whole, with every error, and
- * the last good one stays in force. Listeners are called on this updater's thread.
+ * Polls the tenants' constraints, in a file or in the store of the machine list, and the settings
+ * in that store. A version that cannot be parsed or satisfied is rejected as a whole, all its
+ * errors are reported, and the last valid version stays in force. Listeners are called on this
+ * updater's thread.
  */
 final class ConstraintUpdater implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger("fordridge.constraints");
 
-  /** Names under which the store keeps shared settings. */
+  /** Keys of the shared settings in the store. */
   private static final String CONSTRAINTS_KEY = "constraints";
 
-  private static final String DEPLOYMENT_KEY = "deployment";
+  private static final String SETTINGS_KEY = "deployment";
 
   private final DeploymentSettings settings;
   private final MachineListSource machineList;
@@ -49,16 +50,17 @@
             return thread;
           });
 
-  /** The text read last, also one that was rejected; null before the first. */
+  /** The constraints' text read last, even if it was rejected; null before the first. */
   private String latestText;
 
   private int version;
-  private List<PlacementConstraint> inForce = List.of();
+  private List<PlacementConstraint> constraintsInForce = List.of();
 
-  /** The machines for which the constraints in force were validated last. */
-  private Set<MachineTopology> validatedFor = Set.of();
+  /** The machines against which the constraints in force were validated last. */
+  private Set<MachineTopology> validatedMachines = Set.of();
 
-  private List<String> conflicts = List.of();
+  /** The conflicts that the last validation found and logged. */
+  private List<String> loggedConflicts = List.of();
 
   ConstraintUpdater(DeploymentSettings settings, MachineListSource machineList) {
     this.settings = settings;
@@ -66,8 +68,10 @@
   }
 
   /**
-   * Passes the constraints of now, if there are any, and then each newer version to the listener; a
-   * first version that is rejected is thrown.
+   * Passes the current constraints, if there are any, and then each new version to the listener.
+   *
+   * @throws InvalidSettingsException if the current constraints are invalid; later invalid versions
+   *     are logged
    */
   void watchConstraints(BiConsumer<List<PlacementConstraint>, Integer> listener)
       throws InvalidSettingsException {
@@ -78,13 +82,16 @@
     poll(settings.machineList().pollInterval().toMillis(), () -> updateConstraints(listener));
   }
 
-  /** Passes the settings under each new version in the store to the listener. */
+  /** Passes the resulting settings to the listener for each new version in the store. */
   void watchSettings(Consumer<DeploymentSettings> listener) {
     StoredSettings stored = new StoredSettings(listener);
     poll(0, stored::update);
   }
 
-  /** The tasks guard themselves: one that threw would not run again. */
+  /**
+   * Runs a task periodically; the task must catch its exceptions, as one that throws is not run
+   * again.
+   */
   private void poll(long initialDelayMillis, Runnable task) {
     long intervalMillis = settings.machineList().pollInterval().toMillis();
     Future<?> unused =
@@ -92,12 +99,12 @@
             task, initialDelayMillis, intervalMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** The settings in the store, each version laid over the one before. */
+  /** The settings in the store; each version is applied over the one before. */
   private final class StoredSettings {
     private final Consumer<DeploymentSettings> listener;
     private DeploymentSettings latest = settings;
 
-    /** The text read last, also one that was rejected; null before the first. */
+    /** The settings' text read last, even if it was rejected; null before the first. */
     private String latestText;
 
     StoredSettings(Consumer<DeploymentSettings> listener) {
@@ -105,7 +112,7 @@
     }
 
     void update() {
-      String text = machineList.sharedSetting(DEPLOYMENT_KEY).orElse(null);
+      String text = machineList.sharedSetting(SETTINGS_KEY).orElse(null);
       if (text == null || text.equals(latestText)) {
         return;
       }
@@ -130,7 +137,7 @@
       if (text != null && !text.equals(latestText)) {
         apply(text, listener);
       }
-      validateAgain();
+      revalidate();
     } catch (InvalidSettingsException e) {
       LOG.atError()
           .addKeyValue("reason", String.join("; ", e.messages()))
@@ -143,12 +150,12 @@
   private void apply(String text, BiConsumer<List<PlacementConstraint>, Integer> listener)
       throws InvalidSettingsException {
     latestText = text;
-    inForce = read(text, settings, topology());
+    constraintsInForce = parseAndValidate(text, settings, topology());
     version++;
-    listener.accept(inForce, version);
+    listener.accept(constraintsInForce, version);
   }
 
-  /** The constraints' text in the store, or else in the file; null where there is neither. */
+  /** The constraints' text from the store, or else from the file; null if there is neither. */
   private String readText() throws InvalidSettingsException {
     String stored = machineList.sharedSetting(CONSTRAINTS_KEY).orElse(null);
     File file = settings.constraintsFile().orElse(null);
@@ -158,7 +165,7 @@
     try {
       return Files.readString(file.toPath());
     } catch (IOException e) {
-      throw InvalidSettingsException.ofMessages(List.of(file + ": " + e));
+      throw InvalidSettingsException.ofMessages(List.of(file + ": cannot be read: " + e));
     }
   }
 
@@ -174,13 +181,16 @@
         .toList();
   }
 
-  /** Reads constraints that this deployment's schedulers can satisfy on these machines. */
-  static List<PlacementConstraint> read(
+  /**
+   * Parses constraints and checks that the deployment's schedulers can satisfy them on the
+   * machines.
+   */
+  static List<PlacementConstraint> parseAndValidate(
       String text, DeploymentSettings settings, List<MachineTopology> machines)
       throws InvalidSettingsException {
     try {
       List<PlacementConstraint> constraints = ConstraintParser.parse(text, knownNames(settings));
-      // Only to find out whether the schedulers' shares of each limit can be satisfied.
+      // Created only to check that each limit can be divided among the schedulers.
       ConstraintIndex unused = new ConstraintIndex(constraints, settings.totalSchedulers());
       List<String> conflicts = findConflicts(constraints, machines);
       if (!conflicts.isEmpty()) {
@@ -211,19 +221,22 @@
         .toList();
   }
 
-  /** Constraints that a change of machines made unsatisfiable stay in force, and are logged. */
-  private void validateAgain() {
+  /**
+   * Validates the constraints in force again after a change of the machines. Those that became
+   * unsatisfiable stay in force and are logged.
+   */
+  private void revalidate() {
     List<MachineTopology> machines = topology();
     Set<MachineTopology> machineSet = new HashSet<>(machines);
-    if (inForce.isEmpty() || machineSet.equals(validatedFor)) {
+    if (constraintsInForce.isEmpty() || machineSet.equals(validatedMachines)) {
       return;
     }
-    validatedFor = machineSet;
-    List<String> found = findConflicts(inForce, machines);
-    if (found.equals(conflicts)) {
+    validatedMachines = machineSet;
+    List<String> found = findConflicts(constraintsInForce, machines);
+    if (found.equals(loggedConflicts)) {
       return;
     }
-    conflicts = found;
+    loggedConflicts = found;
     if (found.isEmpty()) {
       LOG.warn("constraints in force can be satisfied again by the listed machines");
     } else {
--- a/src/main/java/fordridge/server/grpc/Gossip.java
+++ b/src/main/java/fordridge/server/grpc/GossipSender.java
@@ -4,17 +4,19 @@
 import fordridge.observability.Metrics;
 import java.util.Optional;
 
-/** Sends this scheduler's gossip once it has a socket; without one, gossip is off. */
-final class Gossip {
+/**
+ * Sends this scheduler's gossip messages; drops them if no socket is set, as when gossip is off.
+ */
+final class GossipSender {
   private final Metrics metrics;
   private Optional<GossipSocket> socket = Optional.empty();
 
-  Gossip(Metrics metrics) {
+  GossipSender(Metrics metrics) {
     this.metrics = metrics;
   }
 
-  void setSocket(GossipSocket opened) {
-    socket = Optional.of(opened);
+  void setSocket(GossipSocket newSocket) {
+    socket = Optional.of(newSocket);
   }
 
   void send(String message) {
--- a/src/main/java/fordridge/server/grpc/GroupActions.java
+++ b/src/main/java/fordridge/server/grpc/GroupActions.java
@@ -17,8 +17,8 @@
 import java.util.function.Supplier;
 
 /**
- * Carries out what groups do with their members. Plans are computed on the planner's threads, from
- * copies; everything else is confined to the event loop.
+ * Performs a group's actions on its members. Plans are computed on the planner's threads from
+ * copies of the state; everything else is confined to the event loop.
  */
 final class GroupActions implements GroupCoordinator.Actions {
   private final InstanceContext context;
@@ -76,7 +76,7 @@
     return new MachineCapacity(machine.cores, machine.memory);
   }
 
-  /** On a planner's thread. */
+  /** Computes a plan on a planner thread, and passes it to the listener on the event loop. */
   private void compute(
       Supplier<GroupPlan> computation, GroupPlan fallback, Consumer<GroupPlan> listener) {
     GroupPlan plan = computeOr(fallback, computation);
@@ -127,9 +127,9 @@
 
   @Override
   public void forget(Vm vm) {
-    context.loop.processBehind(
+    context.loop.enqueue(
         () -> {
-          context.groups.drop(vm);
+          context.groups.remove(vm);
           context.forget(vm);
           if (context.scheduler.inputs().vm(vm.id) == null) {
             context.clients.unregister(vm);
@@ -138,7 +138,7 @@
   }
 
   @Override
-  public String nameAtClient(Vm vm) {
-    return context.clients.nameAtClient(vm);
+  public String requestName(Vm vm) {
+    return context.clients.requestName(vm);
   }
 }
--- a/src/main/java/fordridge/server/grpc/GroupCoordinator.java
+++ b/src/main/java/fordridge/server/grpc/GroupCoordinator.java
@@ -13,43 +13,43 @@
 import java.util.function.Consumer;
 
 /**
- * The groups of one instance: which VM is a member of which, the groups' plans, and the acceptances
- * that wait for the rest of their group. Confined to the event loop.
+ * The groups of one instance: their members, their plans, and the acceptances that are withheld
+ * until the whole group is accepted. Confined to the event loop.
  */
 final class GroupCoordinator implements VmGroup.MemberActions {
-  /** What the instance does for a group's members. */
+  /** Actions of the instance on the members of a group. */
   interface Actions {
-    /** Computes how these can be placed together; the listener is called later or at once. */
+    /** Computes a joint placement of the members; calls the listener before or after it returns. */
     void plan(List<Vm> members, Consumer<GroupPlan> listener);
 
-    /** Hands the member to the scheduler. */
+    /** Passes the member to the scheduler. */
     void schedule(Vm vm);
 
     /** Sends the member's final response to its client. */
     void respond(Vm vm, ClientResponse response);
 
-    /** Stops the member if it runs. */
+    /** Stops the member's VM if it runs. */
     void stop(Vm vm);
 
-    /** Cancels the member's placement; returns whether it may have run. */
+    /** Cancels the member's placement; returns whether its VM may have run. */
     boolean cancel(Vm vm);
 
-    /** Drops what is kept of the member once it has ended. */
+    /** Removes the member, which has its final response, and the state kept for its VM. */
     void forget(Vm vm);
 
-    /** The VM's name as its client knows it. */
-    String nameAtClient(Vm vm);
+    /** The name that the client gave to its request for the VM. */
+    String requestName(Vm vm);
   }
 
-  /** A group's name counts for its client alone. */
+  /** Identifies a group: groups of different clients may have the same name. */
   record GroupId(String client, String name) {}
 
-  /** A group, and how many of its members are still kept here. */
+  /** A group, and the number of its members that are still tracked. */
   private static final class TrackedGroup {
     final GroupId id;
     final int size;
     final VmGroup group;
-    int keptMembers;
+    int trackedMembers;
 
     TrackedGroup(GroupId id, int size, VmGroup.MemberActions actions) {
       this.id = id;
@@ -58,13 +58,13 @@
     }
   }
 
-  /** A member that is kept: its VM, and what is known of it so far. */
+  /** A member of a group: its VM, its part of the group's plan, and its withheld acceptance. */
   private static final class TrackedMember {
     final Vm vm;
     final TrackedGroup tracked;
     Optional<GroupPlan> plan = Optional.empty();
 
-    /** The acceptance that its client is to be notified of once all members are accepted. */
+    /** The acceptance to be sent to the client once all members are accepted. */
     Optional<ClientResponse.Accepted> acceptance = Optional.empty();
 
     TrackedMember(Vm vm, TrackedGroup tracked) {
@@ -77,30 +77,39 @@
   private final Map<GroupId, TrackedGroup> groups = new HashMap<>();
   private final Map<String, TrackedMember> membersByVmId = new HashMap<>();
 
-  /** Rises when constraints or machines change: a plan made before the last change is outdated. */
+  /**
+   * Incremented when constraints or machines change, which makes plans computed before outdated.
+   */
   private int planVersion;
 
   GroupCoordinator(Actions actions) {
     this.actions = actions;
   }
 
-  /** A member of a group was requested; returns why it can't join, or empty if it has. */
-  Optional<String> join(Vm vm, GroupId id, int size, boolean mayRunAgain) {
+  /**
+   * Adds a requested VM to its group; returns the reason if it cannot join, or empty if it joined.
+   */
+  Optional<String> join(Vm vm, GroupId id, int size, boolean isIdempotent) {
     TrackedGroup tracked = groups.computeIfAbsent(id, key -> new TrackedGroup(key, size, this));
     if (tracked.size != size) {
       return Optional.of(
-          "group '" + id.name() + "' was begun with size " + tracked.size + ", not " + size);
+          "group '"
+              + id.name()
+              + "' was begun with size "
+              + tracked.size
+              + ", this request has "
+              + size);
     }
     membersByVmId.put(vm.id, new TrackedMember(vm, tracked));
-    tracked.keptMembers++;
-    if (tracked.group.memberJoined(vm.id, mayRunAgain)) {
+    tracked.trackedMembers++;
+    if (tracked.group.memberJoined(vm.id, isIdempotent)) {
       return Optional.empty();
     }
-    drop(vm);
-    return Optional.of("group '" + id.name() + "' is full or over");
+    remove(vm);
+    return Optional.of("group '" + id.name() + "' is full or has ended");
   }
 
-  /** A member by its VM's id, also one that is held back from the scheduler. */
+  /** Finds a member by its VM's id, including one that was not passed to the scheduler yet. */
   Optional<Vm> findMember(String vmId) {
     return find(vmId).map(member -> member.vm);
   }
@@ -109,37 +118,37 @@
     return membersByVmId.containsKey(vm.id);
   }
 
-  /** A machine accepted a member; its client is notified once all members are accepted. */
+  /** A machine accepted a member; the acceptance is sent once all members are accepted. */
   void memberAccepted(Vm vm, ClientResponse.Accepted acceptance) {
     TrackedMember member = membersByVmId.get(vm.id);
     member.acceptance = Optional.of(acceptance);
     member.tracked.group.memberAccepted(vm.id);
   }
 
-  /** The scheduler rejected the VM; without effect if it is no member. */
+  /** The scheduler rejected the VM; no effect if the VM is not a member. */
   void memberRejected(Vm vm, String reason) {
     groupOf(vm).ifPresent(group -> group.memberRejected(vm.id, reason));
   }
 
-  /** The scheduler failed the VM; without effect if it is no member. */
+  /** The scheduler failed the VM; no effect if the VM is not a member. */
   void memberFailed(Vm vm, String reason) {
     groupOf(vm).ifPresent(group -> group.memberFailed(vm.id, reason));
   }
 
-  /** The client no longer wants the VM; without effect if it is no member. */
+  /** The client withdrew its request for the VM; no effect if the VM is not a member. */
   void memberWithdrawn(Vm vm) {
     groupOf(vm).ifPresent(group -> group.memberWithdrawn(vm.id));
   }
 
   /**
-   * An accepted VM terminated; true if its client must not be notified, as its group never was
-   * accepted as a whole.
+   * An accepted VM terminated. Returns true if its client must not be sent a termination notice, as
+   * the group was never accepted as a whole.
    */
   boolean memberTerminated(Vm vm) {
     return groupOf(vm).map(group -> group.memberTerminated(vm.id)).orElse(false);
   }
 
-  /** The time in which the VM's group has to form is up. */
+  /** The VM's group has reached its formation timeout: it is abandoned unless it is accepted. */
   void formationTimedOut(Vm vm) {
     TrackedMember member = membersByVmId.get(vm.id);
     if (member == null) {
@@ -147,41 +156,46 @@
     }
     VmGroup group = member.tracked.group;
     group.abandon(
-        group.isComplete() ? "not all were bound in time" : "not all of it were asked for in time");
-    removeIfOver(member.tracked);
+        group.isComplete()
+            ? "not all members were accepted in time"
+            : "not all members were requested in time");
+    removeGroupIfOver(member.tracked);
   }
 
-  /** Drops a VM that has its final response and of which nothing more is expected. */
-  void drop(Vm vm) {
+  /** Removes a member that has its final response and whose VM can have no further events. */
+  void remove(Vm vm) {
     TrackedMember member = membersByVmId.remove(vm.id);
     if (member != null) {
-      member.tracked.keptMembers--;
-      removeIfOver(member.tracked);
+      member.tracked.trackedMembers--;
+      removeGroupIfOver(member.tracked);
     }
   }
 
-  /** No more members will be requested: groups that wait for some are abandoned. */
+  /** The scheduler is shutting down: groups whose members were not all requested are abandoned. */
   void shutdownStarted() {
     for (TrackedGroup tracked : List.copyOf(groups.values())) {
       if (!tracked.group.isComplete()) {
-        tracked.group.abandon("the placer is stopping");
-        removeIfOver(tracked);
+        tracked.group.abandon("the scheduler is shutting down");
+        removeGroupIfOver(tracked);
       }
     }
   }
 
-  /** Constraints or machines changed: plans no longer hold, and the constraints alone go on. */
+  /**
+   * Discards all plans, as constraints or machines changed; members that are not placed yet are
+   * placed by the constraints alone.
+   */
   void discardPlans() {
     planVersion++;
     membersByVmId.values().forEach(member -> member.plan = Optional.empty());
   }
 
-  /** What speaks against a machine for a member, by its group's plan; 0 without one. */
+  /** The penalty of placing a member on a machine by its group's plan; 0 without a plan. */
   double planPenalty(Vm vm, MachineTopology machine) {
     return planOf(vm).map(plan -> plan.placementPenalty(vm.id, machine)).orElse(0.0);
   }
 
-  /** Whether the VM's group has a plan that fixes the domain which its affinity asks for. */
+  /** Whether the VM's group has a plan that fixes the topology domain its affinity requires. */
   boolean hasPlannedDomain(Vm vm) {
     return planOf(vm).map(plan -> plan.hasFixedDomain(vm.id)).orElse(false);
   }
@@ -203,7 +217,7 @@
       allMembersJoined(members);
     } else if (plan.rejectionReason().isPresent()) {
       tracked.group.abandon(plan.rejectionReason().get());
-      removeIfOver(tracked);
+      removeGroupIfOver(tracked);
     } else {
       members.forEach(id -> membersByVmId.get(id).plan = Optional.of(plan));
       tracked.group.planFound(plan.placementOrder());
@@ -212,7 +226,7 @@
 
   @Override
   public void place(String vmId) {
-    actions.schedule(vm(vmId));
+    actions.schedule(memberVm(vmId));
   }
 
   @Override
@@ -225,31 +239,31 @@
 
   @Override
   public void stop(String vmId) {
-    actions.stop(vm(vmId));
+    actions.stop(memberVm(vmId));
   }
 
   @Override
   public void cancel(String vmId) {
-    Vm vm = vm(vmId);
+    Vm vm = memberVm(vmId);
     if (actions.cancel(vm)) {
-      memberFailed(vm, "called off");
+      memberFailed(vm, "cancelled with its group");
     } else {
-      memberRejected(vm, "called off");
+      memberRejected(vm, "cancelled with its group");
     }
   }
 
   @Override
   public void reject(String vmId, String reason) {
-    Vm vm = vm(vmId);
+    Vm vm = memberVm(vmId);
     actions.respond(
-        vm, new ClientResponse.Rejected(actions.nameAtClient(vm), Duration.ZERO, reason));
+        vm, new ClientResponse.Rejected(actions.requestName(vm), Duration.ZERO, reason));
     actions.forget(vm);
   }
 
   @Override
   public void fail(String vmId, String reason) {
-    Vm vm = vm(vmId);
-    actions.respond(vm, new ClientResponse.Failed(actions.nameAtClient(vm), reason));
+    Vm vm = memberVm(vmId);
+    actions.respond(vm, new ClientResponse.Failed(actions.requestName(vm), reason));
     actions.forget(vm);
   }
 
@@ -265,7 +279,7 @@
     return find(vm.id).flatMap(member -> member.plan);
   }
 
-  private Vm vm(String vmId) {
+  private Vm memberVm(String vmId) {
     return membersByVmId.get(vmId).vm;
   }
 
@@ -273,8 +287,8 @@
     return find(vmId).filter(member -> member.tracked == tracked).isPresent();
   }
 
-  private void removeIfOver(TrackedGroup tracked) {
-    if (tracked.group.isOver() && tracked.keptMembers == 0) {
+  private void removeGroupIfOver(TrackedGroup tracked) {
+    if (tracked.group.isOver() && tracked.trackedMembers == 0) {
       groups.remove(tracked.id, tracked);
     }
   }
--- a/src/main/java/fordridge/server/grpc/GrpcSchedulerActions.java
+++ b/src/main/java/fordridge/server/grpc/GrpcSchedulerActions.java
@@ -17,35 +17,35 @@
 import java.util.List;
 
 /**
- * Carries out what the scheduler decides, on the machines' and the clients' streams. What follows
- * from an action is queued behind the input that the scheduler is processing. Confined to the event
+ * Performs the scheduler's actions on the streams of machines and clients. Whatever would call the
+ * scheduler back is queued until the input that it is processing is done. Confined to the event
  * loop.
  */
 final class GrpcSchedulerActions implements SchedulerActions {
-  private static final String NO_CAPACITY = "no room found in time";
-  private static final String OUTCOME_UNKNOWN = "it may have run; its outcome is not known";
+  private static final String NO_CAPACITY = "no capacity found in time";
+  private static final String OUTCOME_UNKNOWN = "the VM may have run; its outcome is unknown";
 
   private final InstanceContext context;
-  private final Gossip gossip;
+  private final GossipSender gossip;
 
-  GrpcSchedulerActions(InstanceContext context, Gossip gossip) {
+  GrpcSchedulerActions(InstanceContext context, GossipSender gossip) {
     this.context = context;
     this.gossip = gossip;
   }
 
   @Override
-  public void sendAttempt(PlacementAttempt attempt, Duration within) {
+  public void sendAttempt(PlacementAttempt attempt, Duration timeout) {
     context.metrics.offerSent();
     context.constraints.attemptSent(attempt);
     context.gate.enterWhenRead(
         InputKind.OFFER,
         () -> {
           if (attempt.isInFlight()) {
-            offer(attempt, within);
+            offer(attempt, timeout);
           }
         });
     context.loop.schedule(
-        within,
+        timeout,
         () -> {
           if (isUnanswered(attempt)) {
             context.attempts.abandon(attempt, Outcome.TIMEOUT);
@@ -53,13 +53,13 @@
         });
   }
 
-  private void offer(PlacementAttempt attempt, Duration within) {
+  private void offer(PlacementAttempt attempt, Duration timeout) {
     MachineHandle machine = context.machines.get(attempt.machine);
-    boolean mayRunAgain =
+    boolean isIdempotent =
         context.settings().priorityClasses().get(attempt.vm.priorityClass).isIdempotent();
     AttemptId id = new AttemptId(attempt.vm.id, attempt.number);
     MachineStream stream = machine.stream();
-    stream.offer(attempt, id, mayRunAgain, within, context.loop.now());
+    stream.offer(attempt, id, isIdempotent, timeout, context.loop.now());
     machine.scheduleTick();
   }
 
@@ -84,26 +84,26 @@
 
   @Override
   public void reject(Vm vm, Duration retryAfter) {
-    context.loop.processBehind(() -> context.scheduler.vmRejected(vm, retryAfter));
+    context.loop.enqueue(() -> context.scheduler.vmRejected(vm, retryAfter));
     if (context.groups.isMember(vm)) {
-      context.loop.processBehind(() -> context.groups.memberRejected(vm, NO_CAPACITY));
+      context.loop.enqueue(() -> context.groups.memberRejected(vm, NO_CAPACITY));
       return;
     }
     context.clients.respond(vm, name -> new Rejected(name, retryAfter, NO_CAPACITY));
     context.metrics.responseSent(ClientResponse.Kind.REJECTED);
-    context.loop.processBehind(() -> context.forget(vm));
+    context.loop.enqueue(() -> context.forget(vm));
   }
 
   @Override
   public void fail(Vm vm) {
-    context.loop.processBehind(() -> context.scheduler.vmFailed(vm));
+    context.loop.enqueue(() -> context.scheduler.vmFailed(vm));
     if (context.groups.isMember(vm)) {
-      context.loop.processBehind(() -> context.groups.memberFailed(vm, OUTCOME_UNKNOWN));
+      context.loop.enqueue(() -> context.groups.memberFailed(vm, OUTCOME_UNKNOWN));
       return;
     }
     context.clients.respond(vm, name -> new Failed(name, OUTCOME_UNKNOWN));
     context.metrics.responseSent(ClientResponse.Kind.FAILED);
-    context.loop.processBehind(() -> context.forget(vm));
+    context.loop.enqueue(() -> context.forget(vm));
   }
 
   @Override
@@ -114,7 +114,7 @@
 
   @Override
   public void cancelAttempt(PlacementAttempt attempt) {
-    context.loop.processBehind(
+    context.loop.enqueue(
         () -> {
           if (isUnanswered(attempt)) {
             context.attempts.abandon(attempt, Outcome.CANCELLED);
@@ -124,7 +124,7 @@
 
   @Override
   public void probe(Machine machine) {
-    context.loop.processBehind(
+    context.loop.enqueue(
         () -> {
           MachineHandle handle = context.machines.get(machine);
           handle.stream().probe(context.loop.now());
@@ -148,12 +148,12 @@
   }
 
   /**
-   * The source pushes the list; the answer to a request for it is that nothing changed since, or
-   * that the list may be stale.
+   * Answers with an empty change, or with a failure if the list may be stale: the source pushes the
+   * list, so there is nothing to request.
    */
   @Override
-  public void watchMachineList(boolean isWanted) {
-    context.loop.processBehind(
+  public void watchMachineList(boolean enabled) {
+    context.loop.enqueue(
         () -> {
           if (context.machineList.isStale()) {
             context.scheduler.inputs().scheduler.machineListFailed();
@@ -163,7 +163,7 @@
         });
   }
 
-  /** Nothing to do: the source pushes the list. */
+  /** Does nothing, as the source pushes the list. */
   @Override
   public void fetchMachineList() {}
 }
--- a/src/main/java/fordridge/server/grpc/GrpcSchedulerServer.java
+++ b/src/main/java/fordridge/server/grpc/GrpcSchedulerServer.java
@@ -17,21 +17,21 @@
 import java.util.concurrent.Executor;
 
 /**
- * One scheduler instance on one event loop: its parts, its start, and the events that reach it from
- * outside the loop. It makes no scheduling decision. Methods may be called from any thread unless
- * they say otherwise.
+ * One scheduler instance on one event loop: creates and starts its parts, and passes events from
+ * other threads to the loop. It makes no scheduling decisions. Methods may be called from any
+ * thread unless documented otherwise.
  */
 final class GrpcSchedulerServer {
   private final InstanceContext context;
   private final MachineListIntake machineList;
-  private final Gossip gossip;
+  private final GossipSender gossip;
   private int schedulerCount;
 
   /**
    * Creates and starts an instance.
    *
-   * @param shadowSettings settings of a shadow scheduler, if there is to be one
-   * @param groupPlanner runs the long computations of groups' plans off the event loop
+   * @param shadowSettings settings of the shadow scheduler; empty for none
+   * @param groupPlanner computes the plans of groups outside the event loop
    */
   GrpcSchedulerServer(
       DeploymentSettings settings,
@@ -42,7 +42,7 @@
       PolledEventLoop eventLoop,
       Executor groupPlanner,
       Metrics metrics) {
-    gossip = new Gossip(metrics);
+    gossip = new GossipSender(metrics);
     context =
         new InstanceContext(
             settings, position, name, seed, eventLoop, groupPlanner, metrics, gossip);
@@ -80,12 +80,12 @@
     return context.eventLoop;
   }
 
-  /** Takes clients' messages, on the event loop. */
+  /** Creates the handler of clients' messages, to be called on the event loop. */
   ClientService.RequestHandler requestHandler() {
     return new ClientRequestIntake(context);
   }
 
-  /** Answers operators' queries, on the event loop. */
+  /** Creates the view for operators' queries, to be read on the event loop. */
   OperatorService.ClusterView clusterView() {
     return new ClusterOperatorView(context);
   }
@@ -94,7 +94,10 @@
     context.loop.submit(() -> machineList.listReceived(list));
   }
 
-  /** How many schedulers share the cluster; 0 where the machine list's source does not know. */
+  /**
+   * Sets the number of schedulers that share the cluster; 0, where the source of the machine list
+   * does not know it, is ignored.
+   */
   void schedulerCountReceived(int count) {
     context.loop.execute(
         () -> {
@@ -105,30 +108,30 @@
         });
   }
 
-  /** A new set of constraints holds for all that is placed from here on. */
+  /** Applies a new set of constraints to future placements. */
   void constraintsReceived(List<PlacementConstraint> constraints, int version) {
     context.loop.submit(() -> context.constraints.constraintsReceived(constraints, version));
   }
 
-  /** Other settings hold for all that comes from here on. */
-  void settingsReceived(DeploymentSettings next) {
+  /** Applies new settings to all further inputs. */
+  void settingsReceived(DeploymentSettings newSettings) {
     context.loop.submit(
         () -> {
-          context.settingsChanged(next);
+          context.settingsChanged(newSettings);
           context
               .scheduler
               .inputs()
               .scheduler
-              .settingsChanged(SchedulerSettingsMapper.of(next, context.position));
+              .settingsChanged(SchedulerSettingsMapper.of(newSettings, context.position));
         });
   }
 
-  /** Where gossip is sent; before anything is placed. */
+  /** Sets the socket for gossip; to be called before the first placement request. */
   void gossipSocketOpened(GossipSocket socket) {
     context.loop.execute(() -> gossip.setSocket(socket));
   }
 
-  /** On the event loop. */
+  /** Processes a gossip message of another scheduler; called on the event loop. */
   void gossipReceived(String message) {
     context.metrics.gossipReceived();
     context.loop.process(() -> context.scheduler.gossipReceived(message));
@@ -139,12 +142,12 @@
     return context.shutdown.start(timeout);
   }
 
-  /** Requests without a final response; a recent value when read off the event loop. */
+  /** Requests without a final response; the value may be outdated on other threads. */
   int pendingRequests() {
     return context.clients.sessions().pendingRequests();
   }
 
-  /** Established streams to machines; a recent value when read off the event loop. */
+  /** Established streams to machines; the value may be outdated on other threads. */
   int establishedStreams() {
     return context.machines.establishedStreams();
   }
--- a/src/main/java/fordridge/server/grpc/InputLoop.java
+++ b/src/main/java/fordridge/server/grpc/InputLoop.java
@@ -12,9 +12,10 @@
 import java.util.function.Consumer;
 
 /**
- * The order and the time of a scheduler's inputs on its event loop: one after another as they were
- * met, each at the time of a clock that only goes forward, and what follows from one behind it.
- * {@link #submit} may be called on any thread, everything else on the event loop only.
+ * Processes a scheduler's inputs on its event loop, one after another in order of arrival, each at
+ * the time of a monotonic clock. Inputs that are added while one is processed are queued. {@link
+ * #submit} and {@link #execute} may be called on any thread, everything else on the event loop
+ * only.
  */
 final class InputLoop {
   private final EventLoop eventLoop;
@@ -23,14 +24,14 @@
   private final EventSequencer sequencer;
   private final Runnable afterInputs;
   private final EventLoopTimers timers;
-  private final EventLoopLagMonitor lag;
+  private final EventLoopLagMonitor lagMonitor;
   private Duration now = Duration.ZERO;
 
   /**
    * Creates the loop.
    *
-   * @param beforeInput gets the time of each input before it is processed
-   * @param afterInputs runs when an input and all that followed from it are processed
+   * @param beforeInput receives the time of each input before it is processed
+   * @param afterInputs runs after an input and the inputs queued during it were processed
    */
   InputLoop(
       EventLoop eventLoop,
@@ -51,15 +52,15 @@
             },
             this::inputFailed);
     timers = new EventLoopTimers(eventLoop, this::taskFailed);
-    lag = new EventLoopLagMonitor(timers, sequencer::clock);
+    lagMonitor = new EventLoopLagMonitor(timers, sequencer::clock);
   }
 
-  /** A gate whose inputs are processed on this loop once its sockets are read. */
+  /** Creates a gate whose inputs are processed on this loop after its sockets have been read. */
   InputGate newGate(SocketPoller poller) {
     return new InputGate(timers, new SocketsPort(poller), () -> {});
   }
 
-  /** One pass reads each stream as far as its flow control lets it send. */
+  /** Reads the sockets in one pass: each stream up to the limit of its flow control. */
   private final class SocketsPort implements InputGate.Port {
     private final SocketPoller poller;
 
@@ -78,7 +79,7 @@
       return sequencer.clock();
     }
 
-    /** Nothing to do: each input has a time of its own. */
+    /** Does nothing, as each input gets the time at which it is processed. */
     @Override
     public void refreshTime() {}
 
@@ -88,27 +89,27 @@
     }
   }
 
-  /** Measures the event loop's lag from now on. */
+  /** Starts to measure the event loop's lag. */
   void startLagMonitor() {
-    lag.start();
+    lagMonitor.start();
   }
 
-  /** The time of the input that is being processed, since the start. */
+  /** The time of the input that is being processed, counted from the start of this loop. */
   Duration now() {
     return now;
   }
 
-  /** Sets {@link #now} to the present, for events that are no inputs of the scheduler. */
+  /** Sets {@link #now} to the current time, for events that are not inputs of the scheduler. */
   void refreshNow() {
     now = sequencer.clock();
   }
 
-  /** How long a message may have waited to be read, to be taken off its time. */
+  /** How long a message may have waited to be read, which is subtracted from its time left. */
   Duration lagAllowance() {
-    return lag.allowance(now);
+    return lagMonitor.allowance(now);
   }
 
-  /** Runs a task on the event loop as it is; from any thread. */
+  /** Runs a task on the event loop that is not an input of the scheduler; from any thread. */
   void execute(Runnable task) {
     eventLoop.execute(task);
   }
@@ -118,7 +119,7 @@
     execute(() -> process(input));
   }
 
-  /** Processes an input and all that follows from it, or queues it behind the current one. */
+  /** Processes an input and the inputs queued during it, or queues it if another is processed. */
   void process(Runnable input) {
     long startNanos = System.nanoTime();
     if (!sequencer.enter(input)) {
@@ -128,17 +129,17 @@
     afterInputs.run();
   }
 
-  /** Queues an input behind the one that is being processed. */
-  void processBehind(Runnable input) {
+  /** Queues an input, to be processed after the current one. */
+  void enqueue(Runnable input) {
     sequencer.behind(input);
   }
 
-  /** Processes an input after a delay; a negative delay counts as none. */
+  /** Processes an input after a delay; a negative delay counts as zero. */
   void schedule(Duration delay, Runnable input) {
     timers.runAfter(delay, () -> process(input));
   }
 
-  /** Processes an input again and again. */
+  /** Processes an input periodically. */
   void scheduleAtFixedRate(Duration interval, Runnable input) {
     timers.runEvery(interval, () -> process(input));
   }
@@ -148,8 +149,8 @@
   }
 
   /**
-   * This input is lost to the scheduler, those behind it are not; its VM is answered when its time
-   * is up.
+   * Logs an input that threw. Queued inputs are still processed, and a request that is left without
+   * a decision gets a failed response from the timer of {@link ClientRequestIntake}.
    */
   private void inputFailed(Throwable cause) {
     log.error().setCause(cause).log("scheduler input failed");
--- a/src/main/java/fordridge/server/grpc/InstanceContext.java
+++ b/src/main/java/fordridge/server/grpc/InstanceContext.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Executor;
 
 /**
- * The parts of one scheduler instance, through which each finds the others, as many of them call
+ * Holds the parts of one scheduler instance, so that each can reach the others: many of them call
  * each other. Everything in it is confined to the instance's event loop.
  */
 final class InstanceContext {
@@ -21,7 +21,7 @@
   final SchedulerLog log;
   final InputLoop loop;
 
-  /** Before what may not be decided or sent on input that is not read yet. */
+  /** Delays decisions and offers until all input that peers have sent so far has been read. */
   final InputGate gate;
 
   final EventLoop eventLoop;
@@ -30,11 +30,11 @@
   final ConstraintState constraints;
   final MachineRegistry machines;
   final MachineListIntake machineList;
-  final AttemptTracker attempts;
+  final AttemptOutcomeHandler attempts;
   final GroupCoordinator groups;
   final ShutdownCoordinator shutdown;
 
-  /** The settings in force now. */
+  /** The settings currently in force. */
   private DeploymentSettings settings;
 
   InstanceContext(
@@ -45,7 +45,7 @@
       PolledEventLoop polledLoop,
       Executor groupPlanner,
       Metrics metrics,
-      Gossip gossip) {
+      GossipSender gossip) {
     this.settings = settings;
     this.position = position;
     this.name = name;
@@ -60,7 +60,7 @@
     constraints = new ConstraintState(this);
     machines = new MachineRegistry(this);
     machineList = new MachineListIntake(this);
-    attempts = new AttemptTracker(this);
+    attempts = new AttemptOutcomeHandler(this);
     groups = new GroupCoordinator(new GroupActions(this, groupPlanner));
     shutdown = new ShutdownCoordinator(this);
   }
@@ -69,18 +69,21 @@
     return settings;
   }
 
-  void settingsChanged(DeploymentSettings next) {
-    settings = next;
+  void settingsChanged(DeploymentSettings newSettings) {
+    settings = newSettings;
   }
 
-  /** Drops what is kept of a VM that is over, unless its group still has to answer for it. */
+  /**
+   * Removes the state kept for a VM that has finished, unless it is a member of a group that still
+   * has to send its final response.
+   */
   void forget(Vm vm) {
     if (groups.isMember(vm) && clients.isPending(vm)) {
       return;
     }
     if (scheduler.inputs().forget(vm)) {
       clients.unregister(vm);
-      groups.drop(vm);
+      groups.remove(vm);
     }
   }
 
--- a/src/main/java/fordridge/server/grpc/MachineHandle.java
+++ b/src/main/java/fordridge/server/grpc/MachineHandle.java
@@ -13,7 +13,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** One machine as an instance reaches it: its stream, and what comes in on it. */
+/** An instance's connection to one machine: the stream, and the handling of its messages. */
 final class MachineHandle
     implements GrpcMachineTransport.Listener, MachineMessageDispatcher.Listener {
   private final InstanceContext context;
@@ -22,8 +22,8 @@
   private final GrpcMachineTransport transport;
   private final MachineStream stream;
 
-  /** When the next tick of the stream is scheduled; empty while none is. */
-  private Optional<Duration> tickAt = Optional.empty();
+  /** The time for which the next tick of the stream is scheduled; empty if none is. */
+  private Optional<Duration> nextTickAt = Optional.empty();
 
   MachineHandle(InstanceContext context, String name, Machine machine) {
     this.context = context;
@@ -47,7 +47,7 @@
         context.settings().connections().keepaliveInterval(),
         context.settings().connections().maxMessageBytes(),
         this,
-        context.machines::describeVm);
+        context.machines::completeOffer);
   }
 
   String name() {
@@ -66,18 +66,18 @@
     return stream;
   }
 
-  /** Lets the stream's own time pass when it is due. */
+  /** Schedules a tick for the stream's next deadline, unless an earlier tick is scheduled. */
   void scheduleTick() {
     Optional<Duration> due = stream.nextDeadline();
-    if (due.isEmpty() || (tickAt.isPresent() && due.get().compareTo(tickAt.get()) >= 0)) {
+    if (due.isEmpty() || (nextTickAt.isPresent() && due.get().compareTo(nextTickAt.get()) >= 0)) {
       return;
     }
-    tickAt = due;
+    nextTickAt = due;
     context.loop.schedule(due.get().minus(context.loop.now()), this::tick);
   }
 
   private void tick() {
-    tickAt = Optional.empty();
+    nextTickAt = Optional.empty();
     stream.tick(context.loop.now());
     if (stream.state() == MachineStream.State.BACKING_OFF) {
       context.machines.connectionFailed(this);
@@ -90,7 +90,7 @@
     context.loop.process(
         () -> {
           MachineMessageDispatcher.dispatchInventory(inventory, stream, context.loop.now());
-          context.machines.reconciled(this);
+          context.machines.inventoryReceived(this);
         });
   }
 
@@ -135,17 +135,23 @@
               switch (kind) {
                 case CORE_USAGE ->
                     context.scheduler.vmReported(
-                        attempt, (s, its) -> s.coreUsageReported(its, value));
+                        attempt,
+                        (scheduler, vmAttempt) -> scheduler.coreUsageReported(vmAttempt, value));
                 case MEMORY_USAGE ->
                     context.scheduler.vmReported(
-                        attempt, (s, its) -> s.memoryUsageReported(its, value));
+                        attempt,
+                        (scheduler, vmAttempt) -> scheduler.memoryUsageReported(vmAttempt, value));
                 case SERVICE_LEVEL ->
                     context.scheduler.vmReported(
-                        attempt, (s, its) -> s.serviceLevelReported(its, value));
+                        attempt,
+                        (scheduler, vmAttempt) -> scheduler.serviceLevelReported(vmAttempt, value));
                 case MEMORY_PRESSURE ->
                     context.scheduler.vmReported(
-                        attempt, (s, its) -> s.memoryPressureReported(its, value));
-                // A start is a message of its own here; other kinds are of a later version.
+                        attempt,
+                        (scheduler, vmAttempt) ->
+                            scheduler.memoryPressureReported(vmAttempt, value));
+                // In this protocol a start has its own message type, and unknown kinds come from
+                // machines of a later version.
                 case STARTED, UNKNOWN -> {}
               }
             });
@@ -159,7 +165,7 @@
         .addKeyValue("machine", name)
         .addKeyValue("reason", reason)
         .log("machine violated the protocol");
-    transport.close("said what it may not");
+    transport.close("protocol violation");
     stream.connectionLost(reason, context.loop.now());
   }
 }
--- a/src/main/java/fordridge/server/grpc/MachineListIntake.java
+++ b/src/main/java/fordridge/server/grpc/MachineListIntake.java
@@ -12,17 +12,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Takes in updates of the machine list. Confined to the event loop. */
+/** Applies updates of the machine list to an instance. Confined to the event loop. */
 final class MachineListIntake {
   private final InstanceContext context;
-  private final Instant startedAt = Instant.now();
+  private final Instant schedulerStartedAt = Instant.now();
   private boolean isStale = true;
 
   MachineListIntake(InstanceContext context) {
     this.context = context;
   }
 
-  /** Whether the latest list may be older than its source allows, or none has come. */
+  /** Whether the latest list may be older than its source allows, or none was received yet. */
   boolean isStale() {
     return isStale;
   }
@@ -53,8 +53,8 @@
   }
 
   private ListedMachine<String> listedMachine(MachineListSource.Entry entry) {
-    Duration started =
-        entry.startedAt() == null ? null : Duration.between(startedAt, entry.startedAt());
+    Duration machineStartedAt =
+        entry.startedAt() == null ? null : Duration.between(schedulerStartedAt, entry.startedAt());
     return new ListedMachine<>(
         entry.name(),
         entry.zone(),
@@ -63,11 +63,11 @@
         entry.freeCores(),
         entry.freeMemory(),
         entry.lifecycle(),
-        started);
+        machineStartedAt);
   }
 
   private void updateStreams(MachineListSource.Update list, Map<Machine, Lifecycle> lifecycles) {
-    for (MachineHandle handle : affected(list, lifecycles)) {
+    for (MachineHandle handle : machinesConcerned(list, lifecycles)) {
       Lifecycle lifecycle = lifecycles.getOrDefault(handle.machine(), Lifecycle.GONE);
       handle.stream().machineListed(lifecycle == Lifecycle.GONE, context.loop.now());
       if (lifecycle != Lifecycle.LIVE) {
@@ -82,8 +82,8 @@
     }
   }
 
-  /** A snapshot says something of every machine: those that it does not name are gone. */
-  private Collection<MachineHandle> affected(
+  /** The machines that an update concerns; a snapshot concerns all, as those it omits are gone. */
+  private Collection<MachineHandle> machinesConcerned(
       MachineListSource.Update list, Map<Machine, Lifecycle> lifecycles) {
     return list.isSnapshot()
         ? context.machines.all()
--- a/src/main/java/fordridge/server/grpc/MachineRegistry.java
+++ b/src/main/java/fordridge/server/grpc/MachineRegistry.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * All machines that an instance has heard of, its streams to them, and the reconciliation with what
- * an earlier incarnation of the instance left running on them. Confined to the event loop.
+ * All machines that an instance knows, its streams to them, and the reconciliation with the VMs
+ * that an earlier incarnation of the instance left running on them. Confined to the event loop.
  */
 final class MachineRegistry {
   private final InstanceContext context;
@@ -28,7 +28,7 @@
   /** Written on the event loop only; gauges read it from other threads. */
   private final Map<Machine, MachineHandle> handles = new ConcurrentHashMap<>();
 
-  /** Machines whose reconciliation is scheduled or done: each is asked once for its inventory. */
+  /** Machines whose reconciliation was scheduled, which is done once for each machine. */
   private final Set<Machine> reconciliationScheduled = new HashSet<>();
 
   private final ReconnectPacer<Machine> reconciliation = new ReconnectPacer<>();
@@ -55,7 +55,7 @@
     return streamSettings;
   }
 
-  /** The machine of that name; it is added if it is new. */
+  /** Returns the machine with that name, and adds it if it is not known yet. */
   MachineHandle findOrAdd(String name) {
     Machine machine = context.scheduler.inputs().machine(name);
     return handles.computeIfAbsent(machine, added -> new MachineHandle(context, name, added));
@@ -73,7 +73,7 @@
     return List.copyOf(handles.values());
   }
 
-  /** Streams that are established now. */
+  /** The number of streams that are currently established. */
   int establishedStreams() {
     int established = 0;
     for (MachineHandle handle : handles.values()) {
@@ -82,19 +82,25 @@
     return established;
   }
 
-  /** Whether every machine of the first list has sent its inventory, or is gone. */
+  /** Whether every machine of the first machine list has sent its inventory or is gone. */
   boolean isReconciled() {
     return reconciliation.isComplete();
   }
 
-  /** The first list names the machines that an earlier incarnation may have used. */
+  /**
+   * Starts the reconciliation with the machines of the first machine list, which an earlier
+   * incarnation may have used; later calls are ignored.
+   */
   void startReconciliation(Set<Machine> listed) {
     if (reconciliation.start(listed)) {
       listed.forEach(machine -> context.scheduler.inputs().scheduler.inventoryAwaited(machine));
     }
   }
 
-  /** Asks a machine once for its inventory, at a time spread over the settling time. */
+  /**
+   * Schedules the reconciliation with a machine, once for each machine, at a time by which the
+   * machines are spread over the detection timeout.
+   */
   void scheduleReconciliation(MachineHandle handle) {
     Machine machine = handle.machine();
     if (!reconciliationScheduled.add(machine)) {
@@ -109,20 +115,20 @@
         });
   }
 
-  /** The machine is gone: there is nothing to reconcile with. */
+  /** The machine is gone: its reconciliation is complete. */
   void machineGone(Machine machine) {
     reconciliation.reconciled(machine);
     context.scheduler.inputs().scheduler.inventoryReceived(machine);
   }
 
-  /** The machine sent its inventory. */
-  void reconciled(MachineHandle handle) {
+  /** The machine sent its inventory: its reconciliation is complete, and the next one starts. */
+  void inventoryReceived(MachineHandle handle) {
     reconciliation.reconciled(handle.machine());
     context.scheduler.inputs().scheduler.inventoryReceived(handle.machine());
     reconcileNext();
   }
 
-  /** The machine's stream broke or did not come up: others get their turn. */
+  /** The machine's stream broke or could not be opened: the next machine is reconciled. */
   void connectionFailed(MachineHandle handle) {
     reconciliation.connectionFailed(handle.machine());
     reconcileNext();
@@ -138,8 +144,8 @@
     }
   }
 
-  /** Adds to an offer what the machine needs to know of the VM's priority and client. */
-  void describeVm(PlacementAttempt attempt, Offer.Builder offer) {
+  /** Adds the VM's priority and client to an offer. */
+  void completeOffer(PlacementAttempt attempt, Offer.Builder offer) {
     offer.setPriority(
         context.settings().priorityClasses().get(attempt.vm.priorityClass).priority());
     offer.setClient(context.clients.clientOf(attempt.vm).orElse(""));
@@ -147,7 +153,7 @@
 
   void closeAll() {
     for (MachineHandle handle : handles.values()) {
-      handle.transport().close("the placer ends");
+      handle.transport().close("the scheduler was closed");
     }
   }
 }
--- a/src/main/java/fordridge/server/grpc/PlacerCommand.java
+++ b/src/main/java/fordridge/server/grpc/PlacerCommand.java
@@ -38,26 +38,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The program {@code fordridge placer}: the scheduler instances of one process, their listening
- * ports, machine lists, constraints, gossip sockets and metrics. Owns all of them until {@link
+ * The program {@code fordridge placer}: the scheduler instances of one process, with their gRPC
+ * servers, machine lists, constraints, gossip sockets and metrics. Owns all of them until {@link
  * #shutdown} or {@link #close}.
  */
 public final class PlacerCommand implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger("fordridge.scheduler");
 
   /**
-   * The smallest default of HTTP/2, in bytes: what a client may have sent and not yet been read,
-   * and so how old a request may grow there.
+   * HTTP/2's default initial window, its smallest. It limits the data that a client has sent and
+   * the scheduler has not read, and with it the time that a request can wait unread.
    */
-  private static final int CLIENT_FLOW_CONTROL_WINDOW = 65_535;
+  private static final int CLIENT_FLOW_CONTROL_WINDOW_BYTES = 65_535;
 
-  /** Clients may send keepalives this often. */
+  /** The shortest interval at which clients may send keepalive pings. */
   private static final Duration MIN_CLIENT_KEEPALIVE = Duration.ofMillis(100);
 
   private static final Duration LAG_SAMPLE_INTERVAL = Duration.ofMillis(20);
-  private static final Duration SCHEDULER_COUNT_INTERVAL = Duration.ofMillis(200);
+  private static final Duration SCHEDULER_COUNT_POLL_INTERVAL = Duration.ofMillis(200);
 
-  /** Time for the sockets to carry the last responses. */
+  /** How long a shutdown waits for the sockets to send the last responses. */
   private static final Duration RESPONSE_FLUSH_TIMEOUT = Duration.ofMillis(500);
 
   private static final int GROUP_PLANNER_THREADS = 2;
@@ -76,8 +76,8 @@
   private Optional<MetricsServer> metricsServer = Optional.empty();
 
   /**
-   * Starts everything. If something cannot be had (a port, the machine list), the exception says
-   * what in one line, and nothing is left running.
+   * Starts all instances. If a resource is unavailable (a port, the machine list), everything that
+   * was started is closed, and the exception names the resource in one line.
    */
   public PlacerCommand(DeploymentSettings settings) throws IOException, InvalidSettingsException {
     this.settings = settings;
@@ -114,7 +114,7 @@
 
   private void startInstances() throws IOException, InvalidSettingsException {
     if (!isListInEtcd()) {
-      // One watcher of the file serves all instances.
+      // All instances share one watcher of the file.
       machineLists.add(new MachineListFile(settings.machineListFile(), settings));
     }
     Optional<DeploymentSettings> shadowSettings = readShadowSettings(settings);
@@ -156,7 +156,7 @@
     return settings.machineList().isInEtcd();
   }
 
-  /** The instances' ports follow each other; port 0 is any free one for each. */
+  /** The port of an instance: consecutive from the first; with 0, each gets any free port. */
   private static int portOfInstance(int firstPort, int index) {
     return firstPort == 0 ? 0 : firstPort + index;
   }
@@ -184,7 +184,7 @@
             hostAndPort.substring(0, colon), Integer.parseInt(hostAndPort.substring(colon + 1)));
     if (address.isUnresolved()) {
       throw InvalidSettingsException.ofMessages(
-          List.of("placer.notes.to: '" + hostAndPort + "': no such host"));
+          List.of("placer.notes.to: the host of '" + hostAndPort + "' cannot be resolved"));
     }
     return address;
   }
@@ -193,7 +193,7 @@
     list.watch(instance::machineListReceived);
     runPeriodically(
         instance.eventLoop(),
-        SCHEDULER_COUNT_INTERVAL,
+        SCHEDULER_COUNT_POLL_INTERVAL,
         () -> instance.schedulerCountReceived(list.schedulerCount()));
   }
 
@@ -206,7 +206,7 @@
         .channelType(NioServerSocketChannel.class)
         .directExecutor()
         .maxInboundMessageSize(ClientService.transportLimit(maxMessageBytes))
-        .flowControlWindow(CLIENT_FLOW_CONTROL_WINDOW)
+        .flowControlWindow(CLIENT_FLOW_CONTROL_WINDOW_BYTES)
         .permitKeepAliveTime(MIN_CLIENT_KEEPALIVE.toMillis(), TimeUnit.MILLISECONDS)
         .permitKeepAliveWithoutCalls(true)
         .addService(new ClientService(instance.requestHandler(), maxMessageBytes))
@@ -230,7 +230,10 @@
         });
   }
 
-  /** Until the event loop ends; a task that threw is logged and not run again. */
+  /**
+   * Runs a task periodically until the event loop ends. An exception of the task is logged, and the
+   * task is not run again.
+   */
   private static void runPeriodically(EventLoop eventLoop, Duration interval, Runnable task) {
     eventLoop
         .scheduleAtFixedRate(task, interval.toNanos(), interval.toNanos(), TimeUnit.NANOSECONDS)
@@ -272,8 +275,8 @@
   }
 
   /**
-   * Reads constraints as the schedulers of this deployment would, against its machine list if that
-   * is a file that is there.
+   * Parses and validates constraints as the schedulers of the deployment would: against its machine
+   * list if that is an existing file, otherwise against an empty list.
    */
   public static List<PlacementConstraint> readConstraints(String text, DeploymentSettings settings)
       throws InvalidSettingsException {
@@ -281,12 +284,12 @@
         !settings.machineList().isInEtcd() && settings.machineListFile().isFile()
             ? MachineListFile.read(settings.machineListFile(), settings, 1).entries()
             : List.of();
-    return ConstraintUpdater.read(text, settings, ConstraintUpdater.topology(machines));
+    return ConstraintUpdater.parseAndValidate(text, settings, ConstraintUpdater.topology(machines));
   }
 
   /**
-   * The settings of the shadow scheduler: those of the file that the settings name, laid over them
-   * and checked as if they were in force; empty where none is named.
+   * Reads the settings of the shadow scheduler: the configured file, applied over the given
+   * settings and validated like an update of them. Empty if no file is configured.
    */
   public static Optional<DeploymentSettings> readShadowSettings(DeploymentSettings settings)
       throws InvalidSettingsException, IOException {
@@ -306,7 +309,7 @@
     }
   }
 
-  /** Instances in this process. */
+  /** The number of instances in this process. */
   public int instanceCount() {
     return instances.size();
   }
@@ -326,19 +329,19 @@
     return gossipSockets.get(instance).port();
   }
 
-  /** The port of the metrics, if they are served. */
+  /** The port on which metrics are served, if they are. */
   public OptionalInt metricsPort() {
     return metricsServer.isPresent()
         ? OptionalInt.of(metricsServer.get().port())
         : OptionalInt.empty();
   }
 
-  /** The metrics over all instances. */
+  /** The metrics of all instances together. */
   public Metrics metrics() {
     return metrics;
   }
 
-  /** Version of the machine list in force: rises with each change that could be read. */
+  /** Version of the machine list in force; it rises with each change that could be read. */
   public long machineListVersion() {
     return machineLists.get(0).latest().version();
   }
@@ -354,12 +357,14 @@
   }
 
   /**
-   * Shuts down gracefully: rejects new requests, waits until each pending one has its final
-   * response, then closes. False if some had none in time.
+   * Shuts down gracefully: rejects new requests, waits until each pending request has its final
+   * response, then closes.
+   *
+   * @return whether every request got its final response before the shutdown timeout
    */
   public boolean shutdown() throws InterruptedException {
     boolean allAnswered = awaitFinalResponses();
-    // The last responses are written: a moment for the sockets to carry them.
+    // The last responses are written; the sockets get some time to send them.
     servers.forEach(Server::shutdown);
     long deadlineNanos = System.nanoTime() + RESPONSE_FLUSH_TIMEOUT.toNanos();
     for (Server server : servers) {
@@ -402,7 +407,7 @@
     instances.forEach(GrpcSchedulerServer::close);
     metricsServer.ifPresent(MetricsServer::close);
     groupPlanner.shutdownNow();
-    // Daemon-like: its own two seconds are enough, and nobody waits for its end.
+    // Not awaited: the event loops end by themselves within two seconds.
     var unused = eventLoops.group().shutdownGracefully(0, 2, TimeUnit.SECONDS);
   }
 }
--- a/src/main/java/fordridge/server/grpc/SchedulerLog.java
+++ b/src/main/java/fordridge/server/grpc/SchedulerLog.java
@@ -5,7 +5,7 @@
 import org.slf4j.event.Level;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Log lines of one scheduler instance: each carries the scheduler's name as a field. */
+/** The log of one scheduler instance: adds the scheduler's name to each line as a field. */
 final class SchedulerLog {
   private static final Logger LOG = LoggerFactory.getLogger("fordridge.scheduler");
 
--- a/src/main/java/fordridge/server/grpc/ShadowScheduler.java
+++ b/src/main/java/fordridge/server/grpc/ShadowScheduler.java
@@ -24,52 +24,52 @@
 import java.util.function.BiConsumer;
 
 /**
- * A second scheduler under the settings of a planned migration: it gets the primary scheduler's
- * inputs, acts on nothing, and what it would have decided differently is counted by kind: {@code
- * machine} (another machine), {@code hold} (the primary placed at once, it would not), {@code
- * place} (the other way round), {@code answer} (another final response, or one where the other
- * placed), {@code retry_after}, and what the primary does not do at all: {@code probe}, {@code
- * note}, {@code list_ask}, {@code move}.
+ * A second scheduler that runs under the settings of a planned migration. It receives the primary
+ * scheduler's inputs and performs no actions. Decisions that differ from the primary's are counted
+ * by kind: {@code machine} (another machine), {@code hold} (only the primary placed the VM at
+ * once), {@code place} (only the shadow did), {@code answer} (another final response, or a final
+ * response by one and a placement by the other), {@code retry_after}, and actions that the primary
+ * does not perform at all: {@code probe}, {@code note}, {@code list_ask}, {@code move}.
  *
- * <p>What happens to a VM on a machine is the primary's; where the two chose different machines it
- * counts as if the shadow's had accepted it too. So the counts compare decisions, not what would
- * have come of them. Confined to the event loop.
+ * <p>The outcome of a placement is always that of the primary's attempt; if the shadow chose
+ * another machine, that machine is assumed to have accepted the VM too. The counts therefore
+ * compare the decisions, not their outcomes. Confined to the event loop.
  */
 final class ShadowScheduler implements SchedulerActions {
-  /** The scheduler that this one is compared with, and its surroundings. */
+  /** The scheduler that the shadow is compared with, and the event loop that both run on. */
   interface Primary {
-    /** Processes an input after a delay, behind those of now. */
+    /** Processes an input after a delay; with no delay, after the inputs that are queued now. */
     void schedule(Duration delay, Runnable input);
 
     /** The name of one of the primary's machines. */
     String nameOf(Machine machine);
 
-    /** The primary's machine of that name. */
+    /** The primary's machine with that name. */
     Machine machine(String name);
 
-    /** What the constraints say of one of the primary's VMs on one of its machines. */
+    /** The constraint penalty of placing one of the primary's VMs on one of its machines. */
     double constraintPenalty(Vm vm, Machine machine);
 
-    /** Whether any constraint is about one of the primary's VMs. */
+    /** Whether any constraint applies to one of the primary's VMs. */
     boolean isConstrained(Vm vm);
   }
 
-  /** A final response without an acceptance. */
-  private record Decision(ClientResponse.Kind kind, Duration retryAfter) {}
+  /** A final response that is not an acceptance. */
+  private record NegativeResponse(ClientResponse.Kind kind, Duration retryAfter) {}
 
-  /** A VM as both schedulers have it, and what both decided in the end. */
+  /** The two schedulers' representations of a VM, and the negative response of each. */
   private static final class ShadowedVm {
     final Vm primary;
     final Vm shadow;
-    Optional<Decision> primaryDecision = Optional.empty();
-    Optional<Decision> shadowDecision = Optional.empty();
+    Optional<NegativeResponse> primaryResponse = Optional.empty();
+    Optional<NegativeResponse> shadowResponse = Optional.empty();
 
     ShadowedVm(Vm primary, Vm shadow) {
       this.primary = primary;
       this.shadow = shadow;
     }
 
-    /** The shadow's attempt in flight or accepted, if there is one. */
+    /** The shadow's attempt that is in flight or accepted, if there is one. */
     Optional<PlacementAttempt> shadowAttempt() {
       return Optional.ofNullable(shadow.lastAttempt()).filter(PlacementAttempt::isInFlight);
     }
@@ -79,8 +79,8 @@
   private final Metrics metrics;
   private final Primary primary;
   private final SchedulerInputs<String> inputs;
-  private final IdentityHashMap<Vm, ShadowedVm> byPrimary = new IdentityHashMap<>();
-  private final IdentityHashMap<Vm, ShadowedVm> byShadow = new IdentityHashMap<>();
+  private final IdentityHashMap<Vm, ShadowedVm> vmsByPrimary = new IdentityHashMap<>();
+  private final IdentityHashMap<Vm, ShadowedVm> vmsByShadow = new IdentityHashMap<>();
   private final Map<Machine, String> machineNames = new HashMap<>();
 
   ShadowScheduler(
@@ -97,7 +97,7 @@
     inputs.scheduler.start(seed, SchedulerSettingsMapper.of(shadowSettings, position));
   }
 
-  // The primary's inputs.
+  // Inputs of the primary scheduler
 
   void advanceTo(Duration now) {
     inputs.scheduler.advanceTo(now);
@@ -143,17 +143,17 @@
   }
 
   void vmAdopted(Vm vm, String machine) {
-    inputs.scheduler.vmAdopted(shadowOf(vm).shadow, inputs.machine(machine));
+    inputs.scheduler.vmAdopted(createShadow(vm).shadow, inputs.machine(machine));
   }
 
-  /** A new VM, before the primary decides: the constraints are as the primary will find them. */
+  /** A new VM. Called before the primary decides, so that both see the same constraint state. */
   void vmRequested(Vm vm) {
-    inputs.scheduler.vmRequested(shadowOf(vm).shadow);
+    inputs.scheduler.vmRequested(createShadow(vm).shadow);
   }
 
-  /** The primary has decided on a new VM: what both did at once is compared. */
+  /** Compares what the two schedulers did with a new VM, after the primary's decision. */
   void vmDecided(Vm vm) {
-    ShadowedVm shadowed = byPrimary.get(vm);
+    ShadowedVm shadowed = vmsByPrimary.get(vm);
     if (shadowed == null) {
       return;
     }
@@ -168,7 +168,7 @@
   }
 
   void vmAccepted(Vm vm) {
-    ShadowedVm shadowed = byPrimary.get(vm);
+    ShadowedVm shadowed = vmsByPrimary.get(vm);
     if (shadowed != null) {
       shadowed.shadowAttempt().ifPresent(this::acceptIfUnanswered);
     }
@@ -176,7 +176,7 @@
 
   /** A report on a running VM; {@code input} is the scheduler's input for it. */
   void vmReported(Vm vm, BiConsumer<Scheduler, PlacementAttempt> input) {
-    ShadowedVm shadowed = byPrimary.get(vm);
+    ShadowedVm shadowed = vmsByPrimary.get(vm);
     if (shadowed == null) {
       return;
     }
@@ -188,47 +188,48 @@
 
   void attemptEnded(
       PlacementAttempt attempt, Outcome outcome, OutcomeReason reason, boolean wasAccepted) {
-    ShadowedVm shadowed = byPrimary.get(attempt.vm);
+    ShadowedVm shadowed = vmsByPrimary.get(attempt.vm);
     if (shadowed == null) {
       return;
     }
-    Optional<PlacementAttempt> own = shadowed.shadowAttempt();
-    if (own.isPresent()) {
-      if (wasAccepted || isSameMachine(attempt, own.get())) {
-        inputs.scheduler.attemptEnded(own.get(), outcome, reason, wasAccepted);
+    Optional<PlacementAttempt> shadowAttempt = shadowed.shadowAttempt();
+    if (shadowAttempt.isPresent()) {
+      if (wasAccepted || isSameMachine(attempt, shadowAttempt.get())) {
+        inputs.scheduler.attemptEnded(shadowAttempt.get(), outcome, reason, wasAccepted);
       } else {
-        acceptIfUnanswered(own.get());
+        acceptIfUnanswered(shadowAttempt.get());
       }
     }
     if (wasAccepted) {
-      drop(shadowed);
+      stopTracking(shadowed);
     }
   }
 
   void clientLeft(Vm vm) {
-    ShadowedVm shadowed = byPrimary.get(vm);
+    ShadowedVm shadowed = vmsByPrimary.get(vm);
     if (shadowed == null) {
       return;
     }
-    Optional<PlacementAttempt> attempt = shadowed.shadowAttempt();
+    Optional<PlacementAttempt> shadowAttempt = shadowed.shadowAttempt();
     inputs.scheduler.clientLeft(shadowed.shadow);
-    attempt.ifPresent(
-        own ->
-            inputs.scheduler.attemptEnded(own, Outcome.CANCELLED, OutcomeReason.UNSPECIFIED, true));
-    drop(shadowed);
+    shadowAttempt.ifPresent(
+        inFlight ->
+            inputs.scheduler.attemptEnded(
+                inFlight, Outcome.CANCELLED, OutcomeReason.UNSPECIFIED, true));
+    stopTracking(shadowed);
   }
 
   /** The primary rejected the VM. */
   void vmRejected(Vm vm, Duration retryAfter) {
-    primaryDecided(vm, new Decision(ClientResponse.Kind.REJECTED, retryAfter));
+    primaryResponded(vm, new NegativeResponse(ClientResponse.Kind.REJECTED, retryAfter));
   }
 
   /** The primary failed the VM. */
   void vmFailed(Vm vm) {
-    primaryDecided(vm, new Decision(ClientResponse.Kind.FAILED, Duration.ZERO));
+    primaryResponded(vm, new NegativeResponse(ClientResponse.Kind.FAILED, Duration.ZERO));
   }
 
-  private ShadowedVm shadowOf(Vm vm) {
+  private ShadowedVm createShadow(Vm vm) {
     Vm shadow = new Vm(vm.id);
     shadow.priorityClass = vm.priorityClass;
     shadow.tenant = vm.tenant;
@@ -240,8 +241,8 @@
     shadow.deadline = vm.deadline;
     shadow.expectedLifetime = vm.expectedLifetime;
     ShadowedVm shadowed = new ShadowedVm(vm, shadow);
-    byPrimary.put(vm, shadowed);
-    byShadow.put(shadow, shadowed);
+    vmsByPrimary.put(vm, shadowed);
+    vmsByShadow.put(shadow, shadowed);
     inputs.add(shadow);
     return shadowed;
   }
@@ -257,73 +258,74 @@
     }
   }
 
-  private void primaryDecided(Vm vm, Decision decision) {
-    ShadowedVm shadowed = byPrimary.get(vm);
+  private void primaryResponded(Vm vm, NegativeResponse response) {
+    ShadowedVm shadowed = vmsByPrimary.get(vm);
     if (shadowed != null) {
-      shadowed.primaryDecision = Optional.of(decision);
-      compare(shadowed);
+      shadowed.primaryResponse = Optional.of(response);
+      compareOutcomes(shadowed);
     }
   }
 
-  private void compare(ShadowedVm shadowed) {
-    Optional<Decision> ours = shadowed.primaryDecision;
-    Optional<Decision> shadows = shadowed.shadowDecision;
-    if ((ours.isEmpty() && shadows.isEmpty()) || !byPrimary.containsKey(shadowed.primary)) {
+  private void compareOutcomes(ShadowedVm shadowed) {
+    Optional<NegativeResponse> primaryResponse = shadowed.primaryResponse;
+    Optional<NegativeResponse> shadowResponse = shadowed.shadowResponse;
+    if ((primaryResponse.isEmpty() && shadowResponse.isEmpty())
+        || !vmsByPrimary.containsKey(shadowed.primary)) {
       return;
     }
-    boolean shadowPlaced = shadows.isEmpty() && shadowed.shadowAttempt().isPresent();
-    boolean primaryPlaced = ours.isEmpty() && shadowed.primary.inFlightAttempts() > 0;
+    boolean shadowPlaced = shadowResponse.isEmpty() && shadowed.shadowAttempt().isPresent();
+    boolean primaryPlaced = primaryResponse.isEmpty() && shadowed.primary.inFlightAttempts() > 0;
     if (shadowPlaced || primaryPlaced) {
       metrics.shadowDiffered(ShadowDifference.ANSWER);
       clientLeft(shadowed.primary);
-    } else if (ours.isPresent() && shadows.isPresent()) {
-      compareDecisions(ours.get(), shadows.get());
-      drop(shadowed);
+    } else if (primaryResponse.isPresent() && shadowResponse.isPresent()) {
+      compareResponses(primaryResponse.get(), shadowResponse.get());
+      stopTracking(shadowed);
     }
   }
 
-  private void compareDecisions(Decision ours, Decision shadows) {
-    if (ours.kind() != shadows.kind()) {
+  private void compareResponses(NegativeResponse primaryResponse, NegativeResponse shadowResponse) {
+    if (primaryResponse.kind() != shadowResponse.kind()) {
       metrics.shadowDiffered(ShadowDifference.ANSWER);
-    } else if (!ours.retryAfter().equals(shadows.retryAfter())) {
+    } else if (!primaryResponse.retryAfter().equals(shadowResponse.retryAfter())) {
       metrics.shadowDiffered(ShadowDifference.RETRY_AFTER);
     }
   }
 
-  private void drop(ShadowedVm shadowed) {
+  private void stopTracking(ShadowedVm shadowed) {
     if (shadowed.shadowAttempt().isEmpty() && !shadowed.shadow.isFinished) {
       inputs.scheduler.clientLeft(shadowed.shadow);
     }
-    byPrimary.remove(shadowed.primary);
-    byShadow.remove(shadowed.shadow);
+    vmsByPrimary.remove(shadowed.primary);
+    vmsByShadow.remove(shadowed.shadow);
     inputs.forget(shadowed.shadow);
   }
 
-  // What this scheduler would do: nothing of it is done.
+  // Actions of the shadow scheduler, which are compared and counted but not performed
 
   @Override
-  public void sendAttempt(PlacementAttempt attempt, Duration within) {
-    ShadowedVm shadowed = byShadow.get(attempt.vm);
-    if (shadowed != null && shadowed.primaryDecision.isPresent()) {
-      primary.schedule(Duration.ZERO, () -> compare(shadowed));
+  public void sendAttempt(PlacementAttempt attempt, Duration timeout) {
+    ShadowedVm shadowed = vmsByShadow.get(attempt.vm);
+    if (shadowed != null && shadowed.primaryResponse.isPresent()) {
+      primary.schedule(Duration.ZERO, () -> compareOutcomes(shadowed));
     }
   }
 
   @Override
   public void reject(Vm vm, Duration retryAfter) {
-    shadowDecided(vm, new Decision(ClientResponse.Kind.REJECTED, retryAfter));
+    shadowResponded(vm, new NegativeResponse(ClientResponse.Kind.REJECTED, retryAfter));
   }
 
   @Override
   public void fail(Vm vm) {
-    shadowDecided(vm, new Decision(ClientResponse.Kind.FAILED, Duration.ZERO));
+    shadowResponded(vm, new NegativeResponse(ClientResponse.Kind.FAILED, Duration.ZERO));
   }
 
-  private void shadowDecided(Vm vm, Decision decision) {
-    ShadowedVm shadowed = byShadow.get(vm);
+  private void shadowResponded(Vm vm, NegativeResponse response) {
+    ShadowedVm shadowed = vmsByShadow.get(vm);
     if (shadowed != null) {
-      shadowed.shadowDecision = Optional.of(decision);
-      primary.schedule(Duration.ZERO, () -> compare(shadowed));
+      shadowed.shadowResponse = Optional.of(response);
+      primary.schedule(Duration.ZERO, () -> compareOutcomes(shadowed));
     }
   }
 
@@ -332,10 +334,10 @@
     metrics.shadowDiffered(ShadowDifference.MOVE);
   }
 
-  /** Tenants' constraints hold for both alike. */
+  /** The primary's penalty, as the tenants' constraints apply to both schedulers alike. */
   @Override
   public double constraintPenalty(Vm vm, Machine machine) {
-    ShadowedVm shadowed = byShadow.get(vm);
+    ShadowedVm shadowed = vmsByShadow.get(vm);
     return shadowed == null
         ? 0
         : primary.constraintPenalty(shadowed.primary, primary.machine(machineNames.get(machine)));
@@ -343,7 +345,7 @@
 
   @Override
   public boolean isConstrained(Vm vm) {
-    ShadowedVm shadowed = byShadow.get(vm);
+    ShadowedVm shadowed = vmsByShadow.get(vm);
     return shadowed != null && primary.isConstrained(shadowed.primary);
   }
 
@@ -352,7 +354,7 @@
 
   @Override
   public void probe(Machine machine) {
-    // The primary may probe in the same input, behind this; then its answer is this one's too.
+    // The primary may probe the machine later in the same input; its result then goes to both.
     primary.schedule(Duration.ZERO, () -> answerProbeUnlessPrimaryProbes(machine));
   }
 
@@ -361,8 +363,8 @@
       return;
     }
     metrics.shadowDiffered(ShadowDifference.PROBE);
-    // No machine was probed: the shadow gets neither a fault nor a load report, and may probe
-    // again.
+    // No machine was probed: the shadow is told of a success without a load report, so that it
+    // records no fault and may probe again.
     primary.schedule(
         primarySettings.connections().connectTimeout(),
         () -> inputs.scheduler.probeCompleted(machine, true, false));
@@ -384,7 +386,7 @@
   public void log(String line) {}
 
   @Override
-  public void watchMachineList(boolean isWanted) {
+  public void watchMachineList(boolean enabled) {
     if (primarySettings.cluster().isListPushed()) {
       metrics.shadowDiffered(ShadowDifference.LIST_ASK);
     }
--- a/src/main/java/fordridge/server/grpc/ShadowedPrimary.java
+++ b/src/main/java/fordridge/server/grpc/ShadowedPrimary.java
@@ -4,7 +4,7 @@
 import fordridge.model.Vm;
 import java.time.Duration;
 
-/** What a shadow scheduler sees of the scheduler beside it. Confined to the event loop. */
+/** Gives a shadow scheduler access to its primary's instance. Confined to the event loop. */
 final class ShadowedPrimary implements ShadowScheduler.Primary {
   private final InstanceContext context;
 
--- a/src/main/java/fordridge/server/grpc/ShutdownCoordinator.java
+++ b/src/main/java/fordridge/server/grpc/ShutdownCoordinator.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The graceful shutdown of one instance: new requests are rejected, pending VMs are answered by the
- * scheduler, and attempts without an outcome are given up before the time is up. Confined to the
- * event loop, except for {@link #start}.
+ * Coordinates the graceful shutdown of one instance: new requests are rejected, the scheduler sends
+ * a final response for each pending VM, and unanswered attempts are abandoned before the timeout.
+ * Confined to the event loop, except for {@link #start}.
  */
 final class ShutdownCoordinator {
   private final InstanceContext context;
@@ -22,8 +22,10 @@
   }
 
   /**
-   * Starts the shutdown, from any thread; the result completes when each request has its final
-   * response. Attempts still out after three quarters of {@code timeout} are given up.
+   * Starts the shutdown; may be called from any thread. Attempts without a response after three
+   * quarters of {@code timeout} are abandoned.
+   *
+   * @return completes when each request has its final response
    */
   CompletableFuture<Void> start(Duration timeout) {
     CompletableFuture<Void> result = new CompletableFuture<>();
@@ -42,7 +44,10 @@
     return completion != null;
   }
 
-  /** Called when an input and all that followed from it are processed. */
+  /**
+   * Completes the shutdown if no request is pending; called after an input and the inputs queued
+   * during it were processed.
+   */
   void completeIfIdle() {
     if (completion != null && context.clients.sessions().pendingRequests() == 0) {
       completion.complete(null);
