--- a/src/test/java/fordridge/server/grpc/GroupPlacementTest.java
+++ b/src/test/java/fordridge/server/grpc/GroupPlacementTest.java
@@ -48,11 +48,11 @@
 
             @Override
             public void forget(Vm vm) {
-              groups().drop(vm);
+              groups().remove(vm);
             }
 
             @Override
-            public String nameAtClient(Vm vm) {
+            public String requestName(Vm vm) {
               return vm.id;
             }
           });
