--- a/src/test/java/fordridge/server/grpc/GroupPlacementTest.java
+++ b/src/test/java/fordridge/server/grpc/GroupCoordinatorTest.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
 
-/** What happens between a group's last member being requested and its plan being computed. */
-class GroupPlacementTest {
+/** Groups that change or end while their plans are being computed. */
+class GroupCoordinatorTest {
   private static final GroupCoordinator.GroupId GROUP = new GroupCoordinator.GroupId("c", "g");
 
   private final Deque<Consumer<GroupPlan>> pendingPlans = new ArrayDeque<>();
@@ -68,7 +68,7 @@
   }
 
   @Example
-  void aPlanOutdatedByAChangeIsComputedAgain() {
+  void outdatedPlanIsRecomputed() {
     join("a");
     join("b");
     groups.discardPlans();
@@ -79,15 +79,15 @@
   }
 
   @Example
-  void aPlanComputedForAnEndedGroupIsNotUsedForANewOneOfItsName() {
+  void planOfEndedGroupIsNotUsedForNewGroupOfSameName() {
     Vm a = join("a");
     Vm b = join("b");
     groups.formationTimedOut(a);
     assertThat(actions).containsExactly("REJECTED a", "REJECTED b");
     assertThat(groups.isMember(b)).isFalse();
     join("a");
-    Consumer<GroupPlan> outdated = pendingPlans.remove();
-    outdated.accept(GroupPlan.unconstrained(List.of("a", "b")));
-    assertThat(actions).as("the outdated plan is not the new group's").hasSize(2);
+    Consumer<GroupPlan> outdatedPlan = pendingPlans.remove();
+    outdatedPlan.accept(GroupPlan.unconstrained(List.of("a", "b")));
+    assertThat(actions).as("the ended group's plan places no member of the new group").hasSize(2);
   }
 }
--- a/src/test/java/fordridge/server/grpc/GrpcClientStreamTest.java
+++ b/src/test/java/fordridge/server/grpc/GrpcClientStreamTest.java
@@ -19,17 +19,17 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Clients' streams and sessions, between a real scheduler and scripted peers on loopback. */
+/** Clients' streams and sessions, with a real scheduler and scripted peers on loopback. */
 class GrpcClientStreamTest {
   @Example
-  void anUnacknowledgedAcceptanceIsSentAgainOnResumeAndTheVmRunsOnce() throws Exception {
+  void unacknowledgedAcceptanceIsSentAgainOnResumeAndVmRunsOnce() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("");
       ClientPeer client = peers.client("c").open(true).hello();
       String token = client.token();
       client.request("v", "once");
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
-      // It came, but the client's process had not taken it in when its stream broke.
+      // The acceptance arrived, but the client had not acknowledged it when the stream broke.
       client.breakStream();
       client.received.clear();
       client.open(true).hello(token, 0).request("v", "once");
@@ -50,17 +50,17 @@
   }
 
   @Example
-  void anAcceptanceDuringADisconnectIsSentOnResume() throws Exception {
+  void acceptanceDuringDisconnectIsSentOnResume() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("");
       MachinePeer machine = peers.machines.get(0);
-      machine.onOffer = o -> {};
+      machine.onOffer = offer -> {};
       ClientPeer client = peers.client("c").open(true).hello();
       String token = client.token();
       client.request("v", "once");
-      Offer o = onlyOffer(machine);
+      Offer offer = onlyOffer(machine);
       client.breakStream();
-      machine.reportStarted(o);
+      machine.reportStarted(offer);
       client.received.clear();
       client.open(true).hello(token, 0);
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
@@ -68,33 +68,34 @@
   }
 
   @Example
-  void aStartThatCrossesAWithdrawalIsNotReported() throws Exception {
+  void startThatCrossesWithdrawalIsNotReported() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("");
       MachinePeer machine = peers.machines.get(0);
-      machine.onOffer = o -> {};
+      machine.onOffer = offer -> {};
       ClientPeer client = peers.client("c").open(true).hello().request("v", "safe");
-      Offer o = onlyOffer(machine);
-      client.to.onNext(
+      Offer offer = onlyOffer(machine);
+      client.toScheduler.onNext(
           ClientMessage.newBuilder().setUnwant(Unwant.newBuilder().setVm("v")).build());
       awaitUntil(() -> machine.received.stream().anyMatch(ToMachine::hasCancel));
-      machine.reportStarted(o);
+      machine.reportStarted(offer);
       machine.onOffer = machine::reportStarted;
       client.request("w", "safe");
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
       assertThat(
               client.received.stream()
-                  .anyMatch(x -> x.hasBound() && x.getBound().getVm().equals("v")))
+                  .anyMatch(
+                      message -> message.hasBound() && message.getBound().getVm().equals("v")))
           .isFalse();
     }
   }
 
   /**
-   * The limits: at most sessions.unread responses unwritten, at most sessions.open requests
-   * pending.
+   * The scheduler stops reading from a client with more than sessions.unread unwritten responses or
+   * sessions.open pending requests.
    */
   @Example
-  void aClientThatNeverReadsIsNotReadFromWhileOthersAreServed() throws Exception {
+  void clientThatNeverReadsIsNotReadFromWhileOthersAreServed() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("sessions { unread = 50, open = 100 }");
       ClientPeer unreading = peers.client("unreading").open(false).hello();
@@ -108,31 +109,31 @@
         client.request("v" + i, "safe");
       }
       awaitUntil(() -> client.count(BodyCase.BOUND) == 20);
-      int taken = peers.machines.get(0).offers.size();
-      assertThat(taken).isLessThan(1200);
-      unreading.to.request(100_000);
+      int offersBeforeReading = peers.machines.get(0).offers.size();
+      assertThat(offersBeforeReading).isLessThan(1200);
+      unreading.toScheduler.request(100_000);
       awaitUntil(() -> unreading.count(BodyCase.BOUND) > 0);
       awaitUntil(
           () -> {
-            long seen = unreading.lastSequence();
-            unreading.to.onNext(
-                ClientMessage.newBuilder().setAck(Ack.newBuilder().setSeen(seen)).build());
-            return seen >= 2000;
+            long lastSequence = unreading.lastSequence();
+            unreading.toScheduler.onNext(
+                ClientMessage.newBuilder().setAck(Ack.newBuilder().setSeen(lastSequence)).build());
+            return lastSequence >= 2000;
           });
     }
   }
 
   @Example
-  void anOversizedMessageEndsItsStreamOnly() throws Exception {
+  void oversizedMessageEndsOnlyItsStream() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("machines.max_message = 4KiB");
-      ClientPeer big = peers.client("big").open(true).hello();
-      big.token();
+      ClientPeer oversizedClient = peers.client("big").open(true).hello();
+      oversizedClient.token();
       ClientPeer client = peers.client("c").open(true).hello();
-      big.request("x".repeat(9000), "safe");
-      awaitUntil(() -> big.status != null);
-      assertThat(big.status.getCode())
-          .as(big.status.toString())
+      oversizedClient.request("x".repeat(9000), "safe");
+      awaitUntil(() -> oversizedClient.status != null);
+      assertThat(oversizedClient.status.getCode())
+          .as(oversizedClient.status.toString())
           .isEqualTo(Status.Code.RESOURCE_EXHAUSTED);
       client.request("v", "safe");
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
@@ -140,26 +141,27 @@
   }
 
   @Example
-  void anInvalidMessageEndsItsStreamWithTheNameOfTheField() throws Exception {
+  void invalidMessageEndsItsStreamAndNamesTheField() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("");
-      ClientPeer early = peers.client("early").open(true).request("v", "safe");
-      awaitUntil(() -> early.status != null);
-      assertThat(early.status.getCode()).isEqualTo(Status.Code.INVALID_ARGUMENT);
-      assertThat(early.status.getDescription()).contains("hello");
-      ClientPeer odd = peers.client("odd").open(true).hello();
-      odd.token();
-      odd.to.onNext(
+      ClientPeer clientWithoutHello = peers.client("early").open(true).request("v", "safe");
+      awaitUntil(() -> clientWithoutHello.status != null);
+      assertThat(clientWithoutHello.status.getCode()).isEqualTo(Status.Code.INVALID_ARGUMENT);
+      assertThat(clientWithoutHello.status.getDescription()).contains("hello");
+      ClientPeer clientWithInvalidCores = peers.client("odd").open(true).hello();
+      clientWithInvalidCores.token();
+      clientWithInvalidCores.toScheduler.onNext(
           ClientMessage.newBuilder()
               .setWant(
                   Want.newBuilder().setVm("v").setFlavour("safe").setCores(Double.NaN).setMemory(1))
               .build());
-      awaitUntil(() -> odd.status != null);
-      assertThat(odd.status.getDescription()).contains("want.cores");
-      ClientPeer ack = peers.client("ack").open(true).hello();
-      ack.to.onNext(ClientMessage.newBuilder().setAck(Ack.newBuilder().setSeen(9)).build());
-      awaitUntil(() -> ack.status != null);
-      assertThat(ack.status.getDescription()).contains("9 was never sent");
+      awaitUntil(() -> clientWithInvalidCores.status != null);
+      assertThat(clientWithInvalidCores.status.getDescription()).contains("want.cores");
+      ClientPeer clientWithInvalidAck = peers.client("ack").open(true).hello();
+      clientWithInvalidAck.toScheduler.onNext(
+          ClientMessage.newBuilder().setAck(Ack.newBuilder().setSeen(9)).build());
+      awaitUntil(() -> clientWithInvalidAck.status != null);
+      assertThat(clientWithInvalidAck.status.getDescription()).contains("9 was never sent");
       ClientPeer client =
           peers.client("c").open(true).hello().request("v", "unheard-of").request("w", "safe");
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
@@ -167,9 +169,9 @@
     }
   }
 
-  /** All pending at once: the event loop must stay quick for everyone else. */
+  /** Guards against an event loop that is overloaded by many simultaneously pending requests. */
   @Example
-  void sixThousandPendingRequestsAllGetOneFinalResponse() throws Exception {
+  void eachOfSixThousandPendingRequestsGetsOneFinalResponse() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(3)) {
       peers.startScheduler(
           "sessions { open = 10000, unread = 10000 }, placer { max_open = 10000, answer_margin = 500ms }");
@@ -180,8 +182,8 @@
         client.request("v" + i, List.of("safe", "once").get(i % 2));
       }
       awaitUntil(() -> client.count(BodyCase.DENIED) + client.count(BodyCase.ERRORED) == 6000);
-      // On a slow computer a response may be late, and a non-idempotent VM failed; but each VM has
-      // one response.
+      // On a slow host an attempt may time out, so that a non-idempotent VM fails; but each VM
+      // gets exactly one response.
       assertThat(
               client.received.stream()
                   .filter(m -> !m.hasWelcome())
--- a/src/test/java/fordridge/server/grpc/GrpcConstraintTest.java
+++ b/src/test/java/fordridge/server/grpc/GrpcConstraintTest.java
@@ -15,10 +15,10 @@
 import fordridge.v1.PlacerMessage.BodyCase;
 import net.jqwik.api.Example;
 
-/** Tenants' constraints at a real scheduler with scripted peers on loopback. */
+/** Tenants' constraints, with a real scheduler and scripted peers on loopback. */
 class GrpcConstraintTest {
   @Example
-  void constraintsAreObeyedAndExplainedAndANewVersionTakesOver() throws Exception {
+  void constraintsAreEnforcedAndExplainedAndReplacedByNewVersion() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(3)) {
       peers.writeConstraints("rule one: flavour once require spread at most 1 per machine;\n");
       peers.startScheduler("constraints.file = rules.txt");
@@ -27,81 +27,84 @@
         client.request("v" + i, "once");
       }
       awaitUntil(() -> client.count(BodyCase.BOUND) == 3);
-      peers.machines.forEach(m -> assertThat(m.offers.size()).isEqualTo(1));
-      var why =
+      peers.machines.forEach(machine -> assertThat(machine.offers.size()).isEqualTo(1));
+      var explanation =
           OperatingGrpc.newBlockingStub(client.channel())
               .explain(ExplainRequest.newBuilder().setFlavour("once").setService(1).build());
-      assertThat(why.getSpotsList())
+      assertThat(explanation.getSpotsList())
           .hasSize(3)
           .allMatch(
-              x ->
-                  !x.getAllowed()
-                      && x.getReasons(0).contains("rule 'one'")
-                      && x.getReasons(0).contains("1 in machine"));
-      var own =
+              spot ->
+                  !spot.getAllowed()
+                      && spot.getReasons(0).contains("rule 'one'")
+                      && spot.getReasons(0).contains("1 in machine"));
+      var ownExplanation =
           OperatingGrpc.newBlockingStub(client.channel())
               .explain(ExplainRequest.newBuilder().setVm("c/v0").build());
-      assertThat(own.getSpotsList().stream().filter(x -> x.getAllowed()).map(x -> x.getMachine()))
-          .as("a VM is no obstacle to itself")
-          .containsExactly(own.getRunsOn());
+      assertThat(
+              ownExplanation.getSpotsList().stream()
+                  .filter(spot -> spot.getAllowed())
+                  .map(spot -> spot.getMachine()))
+          .as("a VM is not an obstacle to itself")
+          .containsExactly(ownExplanation.getRunsOn());
       assertThatThrownBy(
               () ->
                   OperatingGrpc.newBlockingStub(client.channel())
                       .explain(ExplainRequest.newBuilder().setVm("c/none").build()))
           .hasMessageContaining("no VM 'c/none'");
-      client.to.onNext(ClientPeer.requestMessage("fourth", "once", 600_000).build());
+      client.toScheduler.onNext(ClientPeer.requestMessage("fourth", "once", 600_000).build());
       awaitUntil(() -> client.count(BodyCase.DENIED) == 1);
-      // A version that cannot be read leaves the old one in force; a good one takes over for what
-      // is placed from then on.
+      // An invalid version leaves the previous one in force; a valid one applies to placements
+      // from then on.
       peers.writeConstraints("rule one: flavour nope require;\n");
       peers.writeConstraints("rule two: flavour once require spread at most 2 per machine;\n");
       awaitUntil(
           () -> {
             int bound = (int) client.count(BodyCase.BOUND);
-            client.to.onNext(
+            client.toScheduler.onNext(
                 ClientPeer.requestMessage("w" + System.nanoTime(), "once", 300_000).build());
             return bound == 6;
           });
-      peers.machines.forEach(m -> assertThat(m.offers.size()).isEqualTo(2));
+      peers.machines.forEach(machine -> assertThat(machine.offers.size()).isEqualTo(2));
     }
   }
 
   @Example
-  void anAttemptWithUnknownOutcomeCountsForConstraintsUntilItIsReleased() throws Exception {
+  void attemptWithUnknownOutcomeCountsForConstraintsUntilReleased() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.writeConstraints("rule away: flavour safe require apart flavour once per machine;\n");
       peers.startScheduler("constraints.file = rules.txt");
-      peers.machines.forEach(m -> m.onOffer = o -> {});
+      peers.machines.forEach(machine -> machine.onOffer = offer -> {});
       ClientPeer client = peers.client("c").open(true).hello().request("v", "once");
       awaitUntil(() -> client.count(BodyCase.ERRORED) == 1);
-      MachinePeer held =
+      MachinePeer occupiedMachine =
           peers.machines.get(0).offers.isEmpty() ? peers.machines.get(1) : peers.machines.get(0);
-      MachinePeer free =
-          held == peers.machines.get(0) ? peers.machines.get(1) : peers.machines.get(0);
-      peers.machines.forEach(m -> m.onOffer = m::reportStarted);
+      MachinePeer freeMachine =
+          occupiedMachine == peers.machines.get(0) ? peers.machines.get(1) : peers.machines.get(0);
+      peers.machines.forEach(machine -> machine.onOffer = machine::reportStarted);
       for (int i = 0; i < 10; i++) {
         client.request("w" + i, "safe");
       }
       awaitUntil(() -> client.count(BodyCase.BOUND) == 10);
-      assertThat(held.offers.size())
-          .as("its outcome is not known: nothing else may go there")
+      assertThat(occupiedMachine.offers.size())
+          .as("nothing else is placed beside an attempt of unknown outcome")
           .isEqualTo(1);
-      held.send(
+      occupiedMachine.send(
           FromMachine.newBuilder()
               .setFinished(
                   Finished.newBuilder()
-                      .setClaim(held.offers.get(0).getClaim())
+                      .setClaim(occupiedMachine.offers.get(0).getClaim())
                       .setHow(Finished.How.CANCELLED))
               .build());
-      free.onOffer = free::reject;
+      freeMachine.onOffer = freeMachine::reject;
       client.request("last", "safe");
-      awaitUntil(() -> held.offers.size() == 2);
+      awaitUntil(() -> occupiedMachine.offers.size() == 2);
     }
   }
 
-  /** A constraint that could be satisfied when it was read, until its machine left the list. */
+  /** The constraint was satisfiable when it was read; then its only machine left the list. */
   @Example
-  void aRequestThatNoMachineSatisfiesIsRejectedWithItsConstraints() throws Exception {
+  void unsatisfiableRequestIsRejectedWithItsConstraints() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.writeConstraints("rule a: flavour once require on machine m1;\n");
       peers.startScheduler("constraints.file = rules.txt");
@@ -110,7 +113,8 @@
       peers.writeMachineList("m1 gone");
       awaitUntil(
           () -> {
-            client.to.onNext(ClientPeer.requestMessage("w" + System.nanoTime(), "once", 0).build());
+            client.toScheduler.onNext(
+                ClientPeer.requestMessage("w" + System.nanoTime(), "once", 0).build());
             return client.count(BodyCase.DENIED) > 0;
           });
       String reason = client.received.get(client.received.size() - 1).getDenied().getReason();
@@ -119,7 +123,7 @@
   }
 
   @Example
-  void settingsAndConstraintsInTheStoreTakeOverWhileRunning() throws Exception {
+  void settingsAndConstraintsFromStoreAreAppliedWhileRunning() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1);
         EmulatedEtcd etcd = new EmulatedEtcd()) {
       etcd.put(
@@ -133,11 +137,12 @@
               + "\"], prefix = \"/c\" }");
       ClientPeer client = peers.client("c").open(true).hello().request("v", "fresh");
       awaitUntil(() -> client.count(BodyCase.DENIED) == 1);
-      String own =
+      String initialFlavours =
           "flavours = [{ name = safe, effect = rebuildable, build_target = 300ms, build_timeout = 4s }, "
               + "{ name = once, effect = one-shot, build_target = 300ms, build_timeout = 4s }";
       etcd.put("/c/terms/deployment", "flavours = [{ name = safe }]");
-      etcd.put("/c/terms/deployment", own + ", { name = fresh, effect = rebuildable }]");
+      etcd.put(
+          "/c/terms/deployment", initialFlavours + ", { name = fresh, effect = rebuildable }]");
       awaitUntil(
           () -> {
             client.request("w" + System.nanoTime(), "fresh");
@@ -148,10 +153,12 @@
           "/c/terms/constraints", "rule one: flavour once require spread at most 1 per machine;");
       awaitUntil(
           () -> {
-            client.to.onNext(
+            client.toScheduler.onNext(
                 ClientPeer.requestMessage("x" + System.nanoTime(), "once", 300_000).build());
             return client.received.stream()
-                    .filter(m -> m.hasDenied() && m.getDenied().getVm().startsWith("x"))
+                    .filter(
+                        message ->
+                            message.hasDenied() && message.getDenied().getVm().startsWith("x"))
                     .count()
                 > 0;
           });
@@ -159,7 +166,7 @@
   }
 
   @Example
-  void constraintsThatCannotBeReadOrSatisfiedPreventTheStart() throws Exception {
+  void invalidOrUnsatisfiableConstraintsPreventStart() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.writeConstraints("rule a: flavour nope require on kind k;\n");
       assertThatThrownBy(() -> peers.startScheduler("constraints.file = rules.txt"))
--- a/src/test/java/fordridge/server/grpc/GrpcGroupTest.java
+++ b/src/test/java/fordridge/server/grpc/GrpcGroupTest.java
@@ -12,70 +12,73 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** Groups of VMs at a real scheduler with scripted peers on loopback. */
+/** Groups of VMs, with a real scheduler and scripted peers on loopback. */
 class GrpcGroupTest {
   @Example
   void acceptancesAreReportedOnlyOnceAllMembersAreAccepted() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.startScheduler("");
-      peers.machines.forEach(m -> m.onOffer = o -> {});
+      peers.machines.forEach(machine -> machine.onOffer = offer -> {});
       ClientPeer client = peers.client("c").open(true).hello();
       client.requestInGroup("g", 3, "a", "safe").requestInGroup("g", 3, "b", "once");
       client.request("alone", "safe");
-      awaitUntil(() -> peers.machines.stream().mapToInt(m -> m.offers.size()).sum() == 1);
+      awaitUntil(
+          () -> peers.machines.stream().mapToInt(machine -> machine.offers.size()).sum() == 1);
       client.requestInGroup("g", 3, "c", "safe");
-      awaitUntil(() -> peers.machines.stream().mapToInt(m -> m.offers.size()).sum() == 4);
-      for (MachinePeer m : peers.machines) {
-        m.offers.stream()
-            .filter(o -> !o.getClaim().getVm().equals("c/b"))
-            .forEach(m::reportStarted);
+      awaitUntil(
+          () -> peers.machines.stream().mapToInt(machine -> machine.offers.size()).sum() == 4);
+      for (MachinePeer machine : peers.machines) {
+        machine.offers.stream()
+            .filter(offer -> !offer.getClaim().getVm().equals("c/b"))
+            .forEach(machine::reportStarted);
       }
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
       peers.machines.forEach(
-          m ->
-              m.offers.stream()
-                  .filter(o -> o.getClaim().getVm().equals("c/b"))
-                  .forEach(m::reportStarted));
+          machine ->
+              machine.offers.stream()
+                  .filter(offer -> offer.getClaim().getVm().equals("c/b"))
+                  .forEach(machine::reportStarted));
       awaitUntil(() -> client.count(BodyCase.BOUND) == 4);
     }
   }
 
   @Example
-  void aGroupWithARejectedMemberIsStoppedAsAWhole() throws Exception {
+  void groupWithRejectedMemberIsStopped() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.startScheduler("cluster.most_claims = 1");
       peers.machines.forEach(
-          m ->
-              m.onOffer =
-                  o -> {
-                    if (o.getClaim().getVm().equals("c/bad")) {
+          machine ->
+              machine.onOffer =
+                  offer -> {
+                    if (offer.getClaim().getVm().equals("c/bad")) {
                       return;
                     }
-                    m.reportStarted(o);
+                    machine.reportStarted(offer);
                   });
       ClientPeer client = peers.client("c").open(true).hello();
       client
           .requestInGroup("g", 3, "a", "safe")
           .requestInGroup("g", 3, "b", "once")
           .requestInGroup("g", 3, "bad", "safe");
-      awaitUntil(() -> peers.machines.stream().mapToInt(m -> m.offers.size()).sum() == 3);
+      awaitUntil(
+          () -> peers.machines.stream().mapToInt(machine -> machine.offers.size()).sum() == 3);
       peers.machines.forEach(
-          m ->
-              m.offers.stream()
-                  .filter(o -> o.getClaim().getVm().equals("c/bad"))
-                  .forEach(m::reject));
+          machine ->
+              machine.offers.stream()
+                  .filter(offer -> offer.getClaim().getVm().equals("c/bad"))
+                  .forEach(machine::reject));
       awaitUntil(() -> client.count(BodyCase.DENIED) == 2 && client.count(BodyCase.ERRORED) == 1);
       assertThat(client.count(BodyCase.BOUND)).isEqualTo(0);
       awaitUntil(
           () ->
               peers.machines.stream()
-                      .flatMap(m -> m.received.stream())
+                      .flatMap(machine -> machine.received.stream())
                       .filter(ToMachine::hasStop)
                       .count()
                   == 2);
       assertThat(
               client.received.stream()
-                  .filter(x -> x.hasErrored())
+                  .filter(message -> message.hasErrored())
                   .findFirst()
                   .get()
                   .getErrored()
@@ -85,7 +88,7 @@
   }
 
   @Example
-  void aGroupThatNeverCompletesIsRejectedInTime() throws Exception {
+  void groupThatNeverCompletesIsRejectedInTime() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("");
       ClientPeer client = peers.client("c").open(true).hello();
@@ -98,14 +101,15 @@
       assertThat(
               client.received.stream()
                   .anyMatch(
-                      m ->
-                          m.hasDenied() && m.getDenied().getReason().contains("begun with size 3")))
+                      message ->
+                          message.hasDenied()
+                              && message.getDenied().getReason().contains("begun with size 3")))
           .isTrue();
     }
   }
 
   @Example
-  void anIncompleteGroupIsRejectedOnShutdown() throws Exception {
+  void incompleteGroupIsRejectedOnShutdown() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("");
       ClientPeer client = peers.client("c").open(true).hello();
@@ -114,17 +118,17 @@
           .requestInGroup("g", 3, "b", "once")
           .request("alone", "safe");
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
-      long from = System.nanoTime();
+      long startNanos = System.nanoTime();
       assertThat(peers.scheduler.shutdown()).isTrue();
       awaitUntil(() -> client.count(BodyCase.DENIED) == 2);
-      assertThat(System.nanoTime() - from)
-          .as("well before their own deadlines")
+      assertThat(System.nanoTime() - startNanos)
+          .as("rejected well before the deadlines of the requests")
           .isLessThan(3_000_000_000L);
     }
   }
 
   @Example
-  void aGroupWithAffinityGoesToOneMachineOrIsRejectedIfNoneIsLargeEnough() throws Exception {
+  void groupWithAffinityIsPlacedOnOneMachineOrRejectedIfNoneIsLargeEnough() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(3)) {
       peers.writeConstraints(
           """
@@ -137,65 +141,69 @@
         client.requestInGroup("g", 3, vm, "once");
       }
       awaitUntil(() -> client.count(BodyCase.BOUND) == 3);
-      assertThat(peers.machines.stream().filter(m -> !m.offers.isEmpty()).count()).isEqualTo(1);
+      assertThat(peers.machines.stream().filter(machine -> !machine.offers.isEmpty()).count())
+          .isEqualTo(1);
       for (int i = 0; i < 3; i++) {
         client.requestInGroup("h", 3, "h" + i, "once", 9);
       }
       awaitUntil(() -> client.count(BodyCase.DENIED) == 3);
       assertThat(client.received.get(client.received.size() - 1).getDenied().getReason())
           .contains("rule 'one' (near flavour once per machine) and the size of the machines");
-      assertThat(peers.machines.stream().mapToInt(m -> m.offers.size()).sum())
-          .as("no member was offered")
+      assertThat(peers.machines.stream().mapToInt(machine -> machine.offers.size()).sum())
+          .as("no member of the second group was offered")
           .isEqualTo(3);
     }
   }
 
   @Example
-  void aConstraintThatChangesWhileAGroupIsPlacedHoldsForItsOtherMembers() throws Exception {
+  void constraintChangedDuringPlacementAppliesToRemainingMembers() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.writeConstraints("rule any: all require spread at most 9 per machine;\n");
       peers.startScheduler("constraints.file = rules.txt");
       peers.machines.forEach(
-          m ->
-              m.onOffer =
-                  o -> {
-                    if (!o.getClaim().getVm().equals("c/late")) {
-                      m.reportStarted(o);
+          machine ->
+              machine.onOffer =
+                  offer -> {
+                    if (!offer.getClaim().getVm().equals("c/late")) {
+                      machine.reportStarted(offer);
                     }
                   });
       ClientPeer client = peers.client("c").open(true).hello();
       client.requestInGroup("g", 2, "early", "safe").requestInGroup("g", 2, "late", "once");
-      awaitUntil(() -> peers.machines.stream().mapToInt(m -> m.offers.size()).sum() == 2);
-      MachinePeer mine =
+      awaitUntil(
+          () -> peers.machines.stream().mapToInt(machine -> machine.offers.size()).sum() == 2);
+      MachinePeer firstMachine =
           peers.machines.get(0).offers.stream()
-                  .anyMatch(o -> o.getClaim().getVm().equals("c/early"))
+                  .anyMatch(offer -> offer.getClaim().getVm().equals("c/early"))
               ? peers.machines.get(0)
               : peers.machines.get(1);
       peers.writeConstraints("rule off: flavour once require apart flavour safe per machine;\n");
       awaitUntil(
           () -> {
-            var why =
+            var explanation =
                 OperatingGrpc.newBlockingStub(client.channel())
                     .explain(ExplainRequest.newBuilder().setFlavour("once").setService(1).build());
-            return why.getSpotsList().stream().anyMatch(x -> !x.getAllowed());
+            return explanation.getSpotsList().stream().anyMatch(x -> !x.getAllowed());
           });
-      // Rejected by the machine where the first runs, the second may go to the other machine only.
-      for (MachinePeer m : peers.machines) {
-        m.onOffer =
-            o -> {
-              if (m == mine) {
-                m.reject(o);
+      // The machine that runs the first VM rejects the second, which may go to the other one only.
+      for (MachinePeer machine : peers.machines) {
+        machine.onOffer =
+            offer -> {
+              if (machine == firstMachine) {
+                machine.reject(offer);
               } else {
-                m.reportStarted(o);
+                machine.reportStarted(offer);
               }
             };
-        m.offers.stream().filter(o -> o.getClaim().getVm().equals("c/late")).forEach(m::reject);
+        machine.offers.stream()
+            .filter(offer -> offer.getClaim().getVm().equals("c/late"))
+            .forEach(machine::reject);
       }
       awaitUntil(() -> client.count(BodyCase.BOUND) == 2 || client.count(BodyCase.DENIED) == 2);
       assertThat(
               client.received.stream()
                   .filter(x -> x.hasBound() && x.getBound().getVm().equals("late"))
-                  .allMatch(x -> !x.getBound().getMachine().equals(mine.name)))
+                  .allMatch(x -> !x.getBound().getMachine().equals(firstMachine.name)))
           .isTrue();
     }
   }
--- a/src/test/java/fordridge/server/grpc/GrpcLifecycleTest.java
+++ b/src/test/java/fordridge/server/grpc/GrpcLifecycleTest.java
@@ -23,17 +23,17 @@
 import java.nio.file.Files;
 import net.jqwik.api.Example;
 
-/** Start, shutdown, machine lists and gossip of a real scheduler on loopback. */
+/** Start, shutdown, machine lists and gossip, with a real scheduler on loopback. */
 class GrpcLifecycleTest {
   @Example
-  void aShutdownGivesEachPendingRequestItsFinalResponse() throws Exception {
+  void shutdownGivesEachPendingRequestItsFinalResponse() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("placer.stop_within = 2s");
       MachinePeer machine = peers.machines.get(0);
-      machine.onOffer = o -> {};
+      machine.onOffer = offer -> {};
       ClientPeer client = peers.client("c").open(true).hello().request("out", "once");
       onlyOffer(machine);
-      client.to.onNext(
+      client.toScheduler.onNext(
           ClientPeer.requestMessage("held", "safe", 0)
               .mergeFrom(
                   ClientMessage.newBuilder().setWant(Want.newBuilder().setCores(999)).build())
@@ -42,13 +42,13 @@
       assertThat(peers.scheduler.shutdown()).isTrue();
       awaitUntil(() -> client.count(BodyCase.ERRORED) + client.count(BodyCase.DENIED) == 2);
       assertThat(client.count(BodyCase.DENIED))
-          .as("what was never offered is rejected")
+          .as("the request that was never offered is rejected")
           .isEqualTo(1);
     }
   }
 
   @Example
-  void aMalformedMachineListLeavesTheLastGoodOneInForce() throws Exception {
+  void malformedMachineListLeavesLastValidOneInForce() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("");
       Files.writeString(
@@ -62,60 +62,66 @@
   }
 
   @Example
-  void anUnavailablePortOrMachineListPreventsTheStart() throws Exception {
+  void unavailablePortOrMachineListPreventsStart() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(0);
-        ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      assertThatThrownBy(() -> peers.startScheduler("placer.listen.port = " + taken.getLocalPort()))
-          .hasMessageContaining(String.valueOf(taken.getLocalPort()));
+        ServerSocket occupiedSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      assertThatThrownBy(
+              () -> peers.startScheduler("placer.listen.port = " + occupiedSocket.getLocalPort()))
+          .hasMessageContaining(String.valueOf(occupiedSocket.getLocalPort()));
       assertThatThrownBy(() -> peers.startScheduler("machines.list = nowhere.conf"))
           .isInstanceOf(InvalidSettingsException.class)
           .hasMessageContaining("nowhere.conf: no such file");
     }
   }
 
-  /** An emulated peer receives gossip of a load report, and what it sends closes a machine. */
+  /**
+   * A configured peer receives gossip of a load report. Its own gossip, that the machine did not
+   * respond, keeps the next VM away from that machine; the same message from another socket is
+   * ignored.
+   */
   @Example
   void gossipIsExchangedWithConfiguredPeersOnly() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2);
-        DatagramSocket other = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-      other.setSoTimeout(20_000);
+        DatagramSocket configuredPeer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
+        DatagramSocket unknownPeer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+      configuredPeer.setSoTimeout(20_000);
       peers.startScheduler(
           "placer { placers = 2, notes.to = [\"127.0.0.1:"
-              + other.getLocalPort()
+              + configuredPeer.getLocalPort()
               + "\"] }\n"
               + "cluster { notes = true, settle = 60s }");
-      InetSocketAddress to =
+      InetSocketAddress gossipAddress =
           new InetSocketAddress(InetAddress.getLoopbackAddress(), peers.scheduler.gossipPort(0));
       ClientPeer client = peers.client("c").open(true).hello();
       client.request("v", "safe");
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
-      MachinePeer took = peers.machines.get(peers.machines.get(0).offers.isEmpty() ? 1 : 0);
-      took.send(
+      MachinePeer firstMachine = peers.machines.get(peers.machines.get(0).offers.isEmpty() ? 1 : 0);
+      firstMachine.send(
           FromMachine.newBuilder()
               .setReport(Report.newBuilder().setSpareCores(8).setSpareMemory(32).setBusy(0.5))
               .build());
-      DatagramPacket heard = new DatagramPacket(new byte[300], 300);
-      other.receive(heard);
-      String note = new String(heard.getData(), 0, heard.getLength(), StandardCharsets.UTF_8);
-      assertThat(note.length()).isEqualTo(5);
-      byte[] noAnswer = note.substring(0, 3).getBytes(StandardCharsets.UTF_8);
-      stranger.send(new DatagramPacket(noAnswer, 3, to));
-      other.send(new DatagramPacket(noAnswer, 3, to));
+      DatagramPacket datagram = new DatagramPacket(new byte[300], 300);
+      configuredPeer.receive(datagram);
+      String loadMessage =
+          new String(datagram.getData(), 0, datagram.getLength(), StandardCharsets.UTF_8);
+      assertThat(loadMessage.length()).isEqualTo(5);
+      byte[] faultMessage = loadMessage.substring(0, 3).getBytes(StandardCharsets.UTF_8);
+      unknownPeer.send(new DatagramPacket(faultMessage, 3, gossipAddress));
+      configuredPeer.send(new DatagramPacket(faultMessage, 3, gossipAddress));
       awaitUntil(() -> peers.scheduler.metrics().gossipReceivedCount() == 1);
-      int before = took.offers.size();
+      int offersBefore = firstMachine.offers.size();
       client.request("w", "safe");
       awaitUntil(() -> client.count(BodyCase.BOUND) == 2);
-      assertThat(took.offers.size()).isEqualTo(before);
+      assertThat(firstMachine.offers.size()).isEqualTo(offersBefore);
     }
   }
 
   /**
-   * Where the list is fetched, the answer is the list that its source has: VMs are placed from the
-   * start.
+   * With settings under which the scheduler fetches the list, each fetch is answered with the
+   * source's current list, so that VMs are placed from the start.
    */
   @Example
-  void aFetchedMachineListIsAnswered() throws Exception {
+  void fetchOfMachineListIsAnswered() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("cluster.list_comes = ask");
       ClientPeer client = peers.client("c").open(true).hello();
--- a/src/test/java/fordridge/server/grpc/GrpcMachineStreamTest.java
+++ b/src/test/java/fordridge/server/grpc/GrpcMachineStreamTest.java
@@ -18,13 +18,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import net.jqwik.api.Example;
 
-/** Machines that are slow, break off or misbehave, against a real scheduler on loopback. */
+/**
+ * Machines that are slow, disconnect or violate the protocol, with a real scheduler on loopback.
+ */
 class GrpcMachineStreamTest {
   @Example
-  void aSilentMachineDoesNotKeepOthersFromAccepting() throws Exception {
+  void silentMachineDoesNotKeepOthersFromAccepting() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.startScheduler("");
-      peers.machines.get(0).onOffer = o -> {};
+      peers.machines.get(0).onOffer = offer -> {};
       ClientPeer client = peers.client("c").open(true).hello();
       for (int i = 0; i < 30; i++) {
         client.request("v" + i, "safe");
@@ -34,18 +36,21 @@
     }
   }
 
-  /** A machine used to be distrusted for more offers than its stream, not up yet, could queue. */
+  /**
+   * Guards against counting offers beyond the queue limit of a stream that is not established yet
+   * as faults of the machine.
+   */
   @Example
-  void aFullQueueOfUnsentOffersIsNoFaultOfTheMachine() throws Exception {
+  void fullQueueOfUnsentOffersIsNotCountedAsFaultOfMachine() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       MachinePeer machine = peers.machines.get(0);
-      machine.holdsInventoryBack = true;
+      machine.withholdsInventory = true;
       peers.startScheduler("machines.line = 4");
       ClientPeer client = peers.client("c").open(true).hello();
       for (int i = 0; i < 30; i++) {
         client.request("v" + i, "safe");
       }
-      awaitUntil(() -> peers.scheduler.pendingRequests() == 30 && machine.out != null);
+      awaitUntil(() -> peers.scheduler.pendingRequests() == 30 && machine.toScheduler != null);
       machine.sendInventory();
       awaitUntil(() -> client.count(BodyCase.BOUND) + client.count(BodyCase.DENIED) == 30);
       assertThat(client.count(BodyCase.DENIED)).isZero();
@@ -54,104 +59,107 @@
   }
 
   @Example
-  void aNonIdempotentVmWithoutAnOutcomeFailsAndItsAttemptIsCancelled() throws Exception {
+  void nonIdempotentVmWithoutOutcomeFailsAndItsAttemptIsCancelled() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.startScheduler("");
-      AtomicInteger started = new AtomicInteger();
-      peers.machines.forEach(m -> m.onOffer = o -> started.incrementAndGet());
+      AtomicInteger offerCount = new AtomicInteger();
+      peers.machines.forEach(machine -> machine.onOffer = offer -> offerCount.incrementAndGet());
       ClientPeer client = peers.client("c").open(true).hello().request("v", "once");
       awaitUntil(() -> client.count(BodyCase.ERRORED) == 1);
-      assertThat(started.get()).isEqualTo(1);
+      assertThat(offerCount.get()).isEqualTo(1);
       assertThat(client.count(BodyCase.DENIED)).isEqualTo(0);
-      // The attempt is cancelled, so that the machine reserves nothing for it.
+      // The cancellation releases what the machine has reserved for the attempt.
       awaitUntil(
           () ->
               peers.machines.stream()
-                  .anyMatch(m -> m.received.stream().anyMatch(ToMachine::hasCancel)));
+                  .anyMatch(machine -> machine.received.stream().anyMatch(ToMachine::hasCancel)));
     }
   }
 
   @Example
-  void aVmThatIsOverBeforeItsAcceptanceFailsAndIsNotPlacedAgain() throws Exception {
+  void vmThatEndsBeforeItsAcceptanceFailsAndIsNotPlacedAgain() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.startScheduler("");
       peers.machines.forEach(
-          m ->
-              m.onOffer =
-                  o ->
-                      m.send(
+          machine ->
+              machine.onOffer =
+                  offer ->
+                      machine.send(
                           FromMachine.newBuilder()
                               .setFinished(
                                   Finished.newBuilder()
-                                      .setClaim(o.getClaim())
+                                      .setClaim(offer.getClaim())
                                       .setHow(Finished.How.DONE)
                                       .setRan(true))
                               .build()));
       ClientPeer client = peers.client("c").open(true).hello().request("v", "safe");
       awaitUntil(() -> client.count(BodyCase.ERRORED) == 1);
-      assertThat(peers.machines.stream().mapToInt(m -> m.offers.size()).sum()).isEqualTo(1);
+      assertThat(peers.machines.stream().mapToInt(machine -> machine.offers.size()).sum())
+          .isEqualTo(1);
       assertThat(client.count(BodyCase.BOUND) + client.count(BodyCase.DENIED)).isZero();
     }
   }
 
   @Example
-  void aVmFoundRunningAfterAReconnectIsAccepted() throws Exception {
+  void vmFoundRunningAfterReconnectIsAccepted() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.startScheduler("machines { unsure = 10s, retry_least = 20ms }");
       peers.machines.forEach(
-          m ->
-              m.onOffer =
-                  o -> {
-                    m.addToInventory(o.getClaim(), Held.State.RUNNING);
-                    m.breakStream();
+          machine ->
+              machine.onOffer =
+                  offer -> {
+                    machine.addToInventory(offer.getClaim(), Held.State.RUNNING);
+                    machine.breakStream();
                   });
       ClientPeer client = peers.client("c").open(true).hello().request("v", "once");
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
-      assertThat(peers.machines.stream().mapToInt(m -> m.offers.size()).sum()).isEqualTo(1);
+      assertThat(peers.machines.stream().mapToInt(machine -> machine.offers.size()).sum())
+          .isEqualTo(1);
     }
   }
 
   @Example
-  void aVmNotFoundAfterAReconnectIsPlacedAgain() throws Exception {
+  void vmNotFoundAfterReconnectIsPlacedAgain() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.startScheduler("machines { unsure = 10s, retry_least = 20ms }");
-      AtomicInteger cuts = new AtomicInteger();
+      AtomicInteger offerCount = new AtomicInteger();
       peers.machines.forEach(
-          m ->
-              m.onOffer =
-                  o -> {
-                    if (cuts.getAndIncrement() == 0) {
-                      m.breakStream();
+          machine ->
+              machine.onOffer =
+                  offer -> {
+                    if (offerCount.getAndIncrement() == 0) {
+                      machine.breakStream();
                     } else {
-                      m.reportStarted(o);
+                      machine.reportStarted(offer);
                     }
                   });
       ClientPeer client = peers.client("c").open(true).hello().request("v", "once");
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
-      assertThat(peers.machines.stream().mapToInt(m -> m.offers.size()).sum()).isEqualTo(2);
+      assertThat(peers.machines.stream().mapToInt(machine -> machine.offers.size()).sum())
+          .isEqualTo(2);
     }
   }
 
   @Example
-  void aNonIdempotentVmOnAMachineThatStaysAwayFails() throws Exception {
+  void nonIdempotentVmOnMachineThatStaysUnreachableFails() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.startScheduler("machines.unsure = 200ms");
-      AtomicInteger offers = new AtomicInteger();
+      AtomicInteger offerCount = new AtomicInteger();
       peers.machines.forEach(
-          m ->
-              m.onOffer =
-                  o -> {
-                    offers.incrementAndGet();
-                    m.close();
+          machine ->
+              machine.onOffer =
+                  offer -> {
+                    offerCount.incrementAndGet();
+                    machine.close();
                   });
       ClientPeer client = peers.client("c").open(true).hello().request("v", "once");
       awaitUntil(() -> client.count(BodyCase.ERRORED) == 1);
-      assertThat(offers.get()).isEqualTo(1);
+      assertThat(offerCount.get()).isEqualTo(1);
     }
   }
 
   @Example
-  void aVmOnARestartedMachineIsReportedLost() throws Exception {
+  void vmOnRestartedMachineIsReportedLost() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("machines.retry_least = 20ms");
       ClientPeer client = peers.client("c").open(true).hello().request("v", "once");
@@ -166,31 +174,31 @@
   }
 
   @Example
-  void aDrainingMachineGetsNoMoreOffers() throws Exception {
+  void drainingMachineGetsNoMoreOffers() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.startScheduler("");
       ClientPeer client = peers.client("c").open(true).hello().request("first", "safe");
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
       peers.writeMachineList("m0 draining");
       awaitUntil(() -> peers.scheduler.machineListVersion() > 1);
-      int before = peers.machines.get(0).offers.size();
+      int offersBefore = peers.machines.get(0).offers.size();
       for (int i = 0; i < 20; i++) {
         client.request("v" + i, "safe");
       }
       awaitUntil(() -> client.count(BodyCase.BOUND) == 21);
-      assertThat(peers.machines.get(0).offers.size()).isEqualTo(before);
+      assertThat(peers.machines.get(0).offers.size()).isEqualTo(offersBefore);
     }
   }
 
   @Example
-  void aMachineThatNeverSendsItsInventoryFailsNoVm() throws Exception {
+  void machineThatNeverSendsItsInventoryFailsNoVm() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1);
-        ServerSocket mute = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
+        ServerSocket silentServer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       peers.startScheduler("machines.connect_timeout = 700ms");
       peers.writeMachineList(
           "",
           "{ name = mute, address = \"127.0.0.1:"
-              + mute.getLocalPort()
+              + silentServer.getLocalPort()
               + "\", kind = k, state = live, free_cores = 500, free_memory = 500 }");
       awaitUntil(() -> peers.scheduler.machineListVersion() > 1);
       ClientPeer client = peers.client("c").open(true).hello();
@@ -204,11 +212,11 @@
   }
 
   @Example
-  void aMachineThatViolatesTheProtocolDoesNotKeepOthersFromAccepting() throws Exception {
+  void machineThatViolatesProtocolDoesNotKeepOthersFromAccepting() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.startScheduler("");
-      MachinePeer odd = peers.machines.get(0);
-      odd.onOffer = o -> odd.send(FromMachine.getDefaultInstance());
+      MachinePeer violatingMachine = peers.machines.get(0);
+      violatingMachine.onOffer = offer -> violatingMachine.send(FromMachine.getDefaultInstance());
       ClientPeer client = peers.client("c").open(true).hello();
       for (int i = 0; i < 10; i++) {
         client.request("v" + i, "safe");
@@ -218,14 +226,14 @@
   }
 
   @Example
-  void aRepeatedStartIsReportedOnce() throws Exception {
+  void repeatedStartIsReportedOnce() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       peers.startScheduler("");
       MachinePeer machine = peers.machines.get(0);
       machine.onOffer =
-          o -> {
-            machine.reportStarted(o);
-            machine.reportStarted(o);
+          offer -> {
+            machine.reportStarted(offer);
+            machine.reportStarted(offer);
             machine.send(
                 FromMachine.newBuilder()
                     .setStarted(
--- a/src/test/java/fordridge/server/grpc/GrpcReconciliationTest.java
+++ b/src/test/java/fordridge/server/grpc/GrpcReconciliationTest.java
@@ -12,10 +12,10 @@
 import fordridge.v1.PlacerMessage.BodyCase;
 import net.jqwik.api.Example;
 
-/** What an earlier incarnation of the scheduler left running, found again on loopback. */
+/** VMs that an earlier incarnation of the scheduler left running, with peers on loopback. */
 class GrpcReconciliationTest {
   @Example
-  void aRestartedSchedulerAdoptsRunningVms() throws Exception {
+  void restartedSchedulerAdoptsRunningVms() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       MachinePeer machine = peers.machines.get(0);
       machine.addToInventory(
@@ -39,22 +39,27 @@
   }
 
   /**
-   * The one machine that may still run it cannot be reached yet: nothing is placed until it has
-   * sent its inventory.
+   * The machine that may still run the VM is unreachable at first: the request waits until the
+   * machine has sent its inventory.
    */
   @Example
-  void aNonIdempotentVmOfAnEarlierIncarnationWaitsForEveryInventory() throws Exception {
+  void nonIdempotentVmOfEarlierIncarnationWaitsForEveryInventory() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
-      MachinePeer away = peers.machines.get(0);
-      away.stopListening();
-      away.addToInventory(ClaimName.newBuilder().setVm("c/old").build(), Held.State.RUNNING);
+      MachinePeer unreachableMachine = peers.machines.get(0);
+      unreachableMachine.stopListening();
+      unreachableMachine.addToInventory(
+          ClaimName.newBuilder().setVm("c/old").build(), Held.State.RUNNING);
       peers.startScheduler(
           "cluster.settle = 600ms, cluster.drain_grace = 100ms, machines.retry_most = 300ms");
       ClientPeer client =
-          peers.client("c").open(true).hello("from an earlier life", 7).request("old", "once");
-      ClientPeer fresh = peers.client("fresh").open(true).hello().request("new", "once");
-      awaitUntil(() -> fresh.count(BodyCase.BOUND) == 1);
-      away.listen();
+          peers
+              .client("c")
+              .open(true)
+              .hello("token-of-earlier-incarnation", 7)
+              .request("old", "once");
+      ClientPeer newClient = peers.client("fresh").open(true).hello().request("new", "once");
+      awaitUntil(() -> newClient.count(BodyCase.BOUND) == 1);
+      unreachableMachine.listen();
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
       assertThat(client.received.get(client.received.size() - 1).getBound().getMachine())
           .isEqualTo("m0");
@@ -63,7 +68,7 @@
   }
 
   @Example
-  void aNonIdempotentVmOfAnEarlierIncarnationFailsIfAnInventoryIsMissing() throws Exception {
+  void nonIdempotentVmOfEarlierIncarnationFailsIfInventoryIsMissing() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(2)) {
       peers.machines.get(0).stopListening();
       peers.startScheduler("cluster.settle = 600ms, cluster.drain_grace = 100ms");
@@ -71,11 +76,11 @@
           peers
               .client("c")
               .open(true)
-              .hello("from an earlier life", 7)
+              .hello("token-of-earlier-incarnation", 7)
               .request("old", "once")
               .request("safe", "safe");
       awaitUntil(() -> client.count(BodyCase.ERRORED) == 1);
-      assertThat(client.count(BodyCase.BOUND)).as("what may run again is placed").isEqualTo(1);
+      assertThat(client.count(BodyCase.BOUND)).as("the idempotent VM is placed").isEqualTo(1);
       assertThat(peers.machines.get(1).offers.size()).isEqualTo(1);
     }
   }
--- a/src/test/java/fordridge/server/grpc/GrpcShadowTest.java
+++ b/src/test/java/fordridge/server/grpc/GrpcShadowTest.java
@@ -16,13 +16,13 @@
 import java.util.stream.Stream;
 import net.jqwik.api.Example;
 
-/** A shadow scheduler beside a real one with scripted peers on loopback. */
+/** A shadow scheduler beside a real scheduler, with scripted peers on loopback. */
 class GrpcShadowTest {
-  /** With time left in microseconds; 0 for the whole build timeout. */
+  /** A request with that many microseconds left; 0 for the whole start deadline. */
   private static ClientMessage requestWithCores(String vm, double cores, long timeLeftUs) {
-    ClientMessage.Builder m = ClientPeer.requestMessage(vm, "safe", timeLeftUs);
-    m.getWantBuilder().setCores(cores);
-    return m.build();
+    ClientMessage.Builder request = ClientPeer.requestMessage(vm, "safe", timeLeftUs);
+    request.getWantBuilder().setCores(cores);
+    return request.build();
   }
 
   private static double shadowDifferences(GrpcTestPeers peers) {
@@ -36,9 +36,8 @@
     peers.startScheduler("watch.terms = next.conf");
   }
 
-  /** Under the same settings nothing is decided differently. */
   @Example
-  void theSameSettingsDecideTheSame() throws Exception {
+  void sameSettingsCountNoDifferences() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(3)) {
       startWithShadow(peers, "cluster.most_claims = 3");
       ClientPeer client = peers.client("c").open(true).hello();
@@ -46,18 +45,15 @@
         client.request("v" + i, i % 3 == 0 ? "once" : "safe");
       }
       awaitUntil(() -> client.count(BodyCase.BOUND) == 30);
-      client.to.onNext(requestWithCores("big", 999, 1_000_000));
+      client.toScheduler.onNext(requestWithCores("big", 999, 1_000_000));
       awaitUntil(() -> client.count(BodyCase.DENIED) == 1);
       assertThat(shadowDifferences(peers)).isEqualTo(0);
     }
   }
 
-  /**
-   * VMs of an earlier incarnation, and tenants' constraints, are known to the shadow as they are to
-   * the primary.
-   */
+  /** The shadow knows the VMs of an earlier incarnation and the constraints, like the primary. */
   @Example
-  void theSameSettingsDecideTheSameUnderConstraintsAndAfterARestart() throws Exception {
+  void sameSettingsCountNoDifferencesWithConstraintsAndAfterRestart() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(3)) {
       Files.writeString(peers.folder.toPath().resolve("next.conf"), "cluster.most_claims = 3");
       Files.writeString(
@@ -71,9 +67,9 @@
       ClientPeer client = peers.client("c").open(true).hello().request("old", "once");
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
       for (int i = 0; i < 9; i++) {
-        int n = i + 2;
+        int expectedAcceptances = i + 2;
         client.request("v" + i, "safe");
-        awaitUntil(() -> client.count(BodyCase.BOUND) >= n);
+        awaitUntil(() -> client.count(BodyCase.BOUND) >= expectedAcceptances);
       }
       assertThat(peers.machines.stream().mapToInt(x -> x.offers.size()).max().getAsInt())
           .isLessThanOrEqualTo(4);
@@ -82,23 +78,23 @@
   }
 
   /**
-   * The scheduler decides as before; where the shadow would hold a VM back, or give no retry-after,
-   * that is counted.
+   * The primary's decisions do not change; that the shadow would hold a VM back and would give no
+   * retry-after is counted.
    */
   @Example
-  void otherSettingsAreCountedByKindAndChangeNothing() throws Exception {
+  void differencesAreCountedByKindAndChangeNoDecision() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       startWithShadow(
           peers,
           "cluster { free_in_list = false, retry_after = false, list_comes = ask, ask_within = 10s }");
       ClientPeer client = peers.client("c").open(true).hello();
-      client.to.onNext(requestWithCores("fits", 15, 0));
+      client.toScheduler.onNext(requestWithCores("fits", 15, 0));
       awaitUntil(() -> client.count(BodyCase.BOUND) == 1);
-      client.to.onNext(requestWithCores("big", 999, 1_000_000));
+      client.toScheduler.onNext(requestWithCores("big", 999, 1_000_000));
       awaitUntil(() -> client.count(BodyCase.DENIED) == 1);
       assertThat(
               client.received.stream()
-                  .filter(m -> m.getBodyCase() == BodyCase.DENIED)
+                  .filter(message -> message.getBodyCase() == BodyCase.DENIED)
                   .findFirst()
                   .get()
                   .getDenied()
@@ -117,7 +113,7 @@
   }
 
   @Example
-  void shadowSettingsAreValidatedBeforeTheStart() throws Exception {
+  void shadowSettingsAreValidatedBeforeStart() throws Exception {
     try (GrpcTestPeers peers = new GrpcTestPeers(1)) {
       assertThatThrownBy(() -> startWithShadow(peers, "cluster.list_comes = shout"))
           .isInstanceOf(InvalidSettingsException.class)
--- a/src/test/java/fordridge/server/grpc/GrpcTestPeers.java
+++ b/src/test/java/fordridge/server/grpc/GrpcTestPeers.java
@@ -43,7 +43,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** A real scheduler on loopback with scripted peers, which do just what a test tells them. */
+/** A real scheduler on loopback, with machines and clients whose behavior each test scripts. */
 final class GrpcTestPeers implements AutoCloseable {
   private static final String DEFAULT_SETTINGS =
       """
@@ -62,7 +62,7 @@
   private final List<Peer> peers = new ArrayList<>();
   PlacerCommand scheduler;
 
-  /** One end of a connection to the scheduler. */
+  /** A machine or client that is connected to the scheduler. */
   private interface Peer extends AutoCloseable {
     @Override
     void close();
@@ -81,7 +81,7 @@
     await().atMost(Duration.ofSeconds(20)).pollInterval(Duration.ofMillis(5)).until(condition);
   }
 
-  /** Starts the scheduler under these settings, laid over the defaults of the tests. */
+  /** Starts the scheduler with these settings, which override the defaults of the tests. */
   void startScheduler(String overrides) throws IOException, InvalidSettingsException {
     writeMachineList("");
     scheduler =
@@ -92,7 +92,11 @@
                 folder));
   }
 
-  /** Writes the list: every machine live except one, as "name state"; and further entries. */
+  /**
+   * Writes the machine list, in which every machine is live but the exception.
+   *
+   * @param exception a machine and its state, as "name state"; empty for none
+   */
   void writeMachineList(String exception, String... furtherEntries) throws IOException {
     StringBuilder text = new StringBuilder("version = 1\nmachines = [\n");
     for (MachinePeer machine : machines) {
@@ -117,7 +121,7 @@
         next.toPath(), new File(folder, "list.conf").toPath(), StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** Replaces the file of constraints in one step. */
+  /** Replaces the constraints file atomically. */
   void writeConstraints(String text) throws IOException {
     File next = new File(folder, "rules.next");
     Files.writeString(next.toPath(), text);
@@ -125,7 +129,7 @@
         next.toPath(), new File(folder, "rules.txt").toPath(), StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** Waits for the machine's first offer, which must be its only one so far. */
+  /** Waits until the machine has received exactly one offer, and returns it. */
   static Offer onlyOffer(MachinePeer machine) {
     awaitUntil(() -> machine.offers.size() == 1);
     return machine.offers.get(0);
@@ -145,20 +149,20 @@
     }
   }
 
-  /** A machine that reacts to each offer as the test says. */
+  /** A machine that responds to offers with {@code onOffer}; by default it starts each VM. */
   static final class MachinePeer extends MachineGrpc.MachineImplBase implements Peer {
     final String name;
     int port;
     final List<Offer> offers = new CopyOnWriteArrayList<>();
     final List<ToMachine> received = new CopyOnWriteArrayList<>();
     private final List<Held> inventory = new CopyOnWriteArrayList<>();
-    volatile StreamObserver<FromMachine> out;
-    private final AtomicInteger streams = new AtomicInteger();
+    volatile StreamObserver<FromMachine> toScheduler;
+    private final AtomicInteger openedStreams = new AtomicInteger();
     private final AtomicLong incarnation = new AtomicLong(1);
     volatile Consumer<Offer> onOffer = this::reportStarted;
 
-    /** Whether a stream stays unestablished until the test sends the inventory. */
-    volatile boolean holdsInventoryBack;
+    /** Whether the machine leaves new streams without an inventory until the test sends it. */
+    volatile boolean withholdsInventory;
 
     private Server server;
 
@@ -178,15 +182,15 @@
     }
 
     @Override
-    public StreamObserver<ToMachine> serve(StreamObserver<FromMachine> to) {
+    public StreamObserver<ToMachine> serve(StreamObserver<FromMachine> responses) {
       return new StreamObserver<>() {
         @Override
         public void onNext(ToMachine m) {
           switch (m.getBodyCase()) {
             case GREETING -> {
-              out = to;
-              streams.incrementAndGet();
-              if (!holdsInventoryBack) {
+              toScheduler = responses;
+              openedStreams.incrementAndGet();
+              if (!withholdsInventory) {
                 sendInventory();
               }
             }
@@ -195,7 +199,7 @@
               onOffer.accept(m.getOffer());
             }
             case PROBE ->
-                to.onNext(
+                responses.onNext(
                     FromMachine.newBuilder()
                         .setReport(
                             Report.newBuilder()
@@ -208,20 +212,20 @@
           received.add(m);
         }
 
-        /** The scheduler left, as it may at any time. */
+        /** Ignored: the scheduler may close the stream at any time. */
         @Override
         public void onError(Throwable cause) {}
 
         @Override
         public void onCompleted() {
-          to.onCompleted();
+          responses.onCompleted();
         }
       };
     }
 
-    /** Establishes the newest stream. */
+    /** Sends the inventory on the newest stream, which establishes it. */
     void sendInventory() {
-      out.onNext(
+      toScheduler.onNext(
           FromMachine.newBuilder()
               .setHolding(
                   Holding.newBuilder()
@@ -231,25 +235,25 @@
               .build());
     }
 
-    /** Streams that the scheduler has opened so far. */
+    /** The number of streams that the scheduler has opened so far. */
     int streamCount() {
-      return streams.get();
+      return openedStreams.get();
     }
 
-    /** Its next inventory is that of a new incarnation. */
+    /** Gives the machine a new incarnation, as a restart does, from the next inventory on. */
     void restart() {
       incarnation.incrementAndGet();
     }
 
     void reportStarted(Offer offer) {
-      out.onNext(
+      toScheduler.onNext(
           FromMachine.newBuilder()
               .setStarted(Started.newBuilder().setClaim(offer.getClaim()))
               .build());
     }
 
     void reject(Offer offer) {
-      out.onNext(
+      toScheduler.onNext(
           FromMachine.newBuilder()
               .setRefused(
                   Refused.newBuilder()
@@ -259,10 +263,10 @@
     }
 
     void send(FromMachine message) {
-      out.onNext(message);
+      toScheduler.onNext(message);
     }
 
-    /** Adds a VM to what it reports at the start of a stream. */
+    /** Adds a VM to the inventory, which is sent at the start of a stream. */
     void addToInventory(ClaimName attempt, Held.State state) {
       inventory.add(
           Held.newBuilder()
@@ -275,11 +279,11 @@
               .build());
     }
 
-    /** Breaks the stream; the machine goes on. */
+    /** Breaks the stream; the machine keeps its state and accepts new streams. */
     void breakStream() {
-      StreamObserver<FromMachine> old = out;
-      out = null;
-      old.onError(Status.UNAVAILABLE.asRuntimeException());
+      StreamObserver<FromMachine> brokenStream = toScheduler;
+      toScheduler = null;
+      brokenStream.onError(Status.UNAVAILABLE.asRuntimeException());
     }
 
     void stopListening() throws InterruptedException {
@@ -292,14 +296,14 @@
     }
   }
 
-  /** A client that reads when told to. */
+  /** A client that records what it receives. */
   static final class ClientPeer implements Peer {
     final String name;
     final List<PlacerMessage> received = new CopyOnWriteArrayList<>();
     volatile Status status;
-    volatile ClientCallStreamObserver<ClientMessage> to;
+    volatile ClientCallStreamObserver<ClientMessage> toScheduler;
     private final ManagedChannel channel;
-    private final AtomicInteger stream = new AtomicInteger();
+    private final AtomicInteger currentStream = new AtomicInteger();
 
     ClientPeer(String name, int port) {
       this.name = name;
@@ -314,32 +318,31 @@
       return channel;
     }
 
-    ClientPeer open(boolean reads) {
-      int mine = stream.incrementAndGet();
+    ClientPeer open(boolean readsResponses) {
+      int streamNumber = currentStream.incrementAndGet();
       status = null;
       PlacingGrpc.newStub(channel)
           .place(
               new ClientResponseObserver<ClientMessage, PlacerMessage>() {
                 @Override
                 public void beforeStart(ClientCallStreamObserver<ClientMessage> s) {
-                  to = s;
-                  if (!reads) {
+                  toScheduler = s;
+                  if (!readsResponses) {
                     s.disableAutoRequestWithInitial(1);
                   }
                 }
 
                 @Override
                 public void onNext(PlacerMessage m) {
-                  // A stream that was broken off may still hand over what it had: the client has
-                  // left it.
-                  if (mine == stream.get()) {
+                  // A cancelled stream may still deliver messages, which the client ignores.
+                  if (streamNumber == currentStream.get()) {
                     received.add(m);
                   }
                 }
 
                 @Override
                 public void onError(Throwable t) {
-                  if (mine == stream.get()) {
+                  if (streamNumber == currentStream.get()) {
                     status = Status.fromThrowable(t);
                   }
                 }
@@ -357,7 +360,7 @@
     }
 
     ClientPeer hello(String token, long seen) {
-      to.onNext(
+      toScheduler.onNext(
           ClientMessage.newBuilder()
               .setHello(Hello.newBuilder().setClient(name).setResumeToken(token).setSeen(seen))
               .build());
@@ -365,11 +368,11 @@
     }
 
     ClientPeer request(String vm, String priorityClass) {
-      to.onNext(requestMessage(vm, priorityClass, 0).build());
+      toScheduler.onNext(requestMessage(vm, priorityClass, 0).build());
       return this;
     }
 
-    /** With the time left in microseconds; 0 for the whole start deadline. */
+    /** A request with that many microseconds left; 0 for the whole start deadline. */
     static ClientMessage.Builder requestMessage(String vm, String priorityClass, long timeLeftUs) {
       return ClientMessage.newBuilder()
           .setWant(
@@ -388,9 +391,9 @@
 
     ClientPeer requestInGroup(
         String group, int size, String vm, String priorityClass, double cores) {
-      ClientMessage.Builder m = requestMessage(vm, priorityClass, 0);
-      m.getWantBuilder().setGroup(group).setGroupSize(size).setCores(cores);
-      to.onNext(m.build());
+      ClientMessage.Builder message = requestMessage(vm, priorityClass, 0);
+      message.getWantBuilder().setGroup(group).setGroupSize(size).setCores(cores);
+      toScheduler.onNext(message.build());
       return this;
     }
 
@@ -413,8 +416,8 @@
     }
 
     void breakStream() {
-      stream.incrementAndGet();
-      to.cancel("test", null);
+      currentStream.incrementAndGet();
+      toScheduler.cancel("test", null);
     }
 
     @Override
