--- a/src/main/java/fordridge/grpc/ClientMessageValidator.java
+++ b/src/main/java/fordridge/grpc/ClientMessageValidator.java
@@ -52,7 +52,7 @@
 
   private static void validateName(String field, String name) throws InvalidClientMessageException {
     if (name.isEmpty()) {
-      throw new InvalidClientMessageException(field, "must not be empty");
+      throw new InvalidClientMessageException(field, "empty");
     }
     validateLength(field, name);
   }
