--- a/src/main/java/fordridge/server/grpc/AttemptOutcomeHandler.java
+++ b/src/main/java/fordridge/server/grpc/AttemptOutcomeHandler.java
@@ -24,8 +24,9 @@
  * is being processed are queued until that input has been processed. Confined to the event loop.
  */
 final class AttemptOutcomeHandler implements MachineStream.Listener {
+  /** Reason in a failed response; the text is part of the protocol. */
   private static final String ENDED_BEFORE_ACCEPTANCE =
-      "the VM ended before its acceptance arrived";
+      "the VM was over before its acceptance came";
 
   private final InstanceContext context;
 
--- a/src/main/java/fordridge/server/grpc/ClientRequestIntake.java
+++ b/src/main/java/fordridge/server/grpc/ClientRequestIntake.java
@@ -22,7 +22,8 @@
 
 /**
  * Handles the messages of clients: admits placement requests or rejects them at once, passes
- * admitted ones to the scheduler, and withdraws them. Confined to the event loop.
+ * admitted ones to the scheduler, and withdraws them. The reasons in its responses are part of the
+ * protocol. Confined to the event loop.
  */
 final class ClientRequestIntake implements ClientService.RequestHandler {
   private final InstanceContext context;
@@ -102,16 +103,16 @@
   private Optional<String> rejectionReason(
       ClientSessions.Admission admission, PriorityClassSettings priorityClass, Want request) {
     if (admission == ClientSessions.Admission.LIMIT_EXCEEDED) {
-      return Optional.of("too many requests are pending");
+      return Optional.of("too many VMs in hand");
     }
     if (context.shutdown.hasStarted()) {
-      return Optional.of("the scheduler is shutting down");
+      return Optional.of("the placer is stopping");
     }
     if (priorityClass == null) {
       return Optional.of(
           "flavour '"
               + request.getFlavour()
-              + "' is not configured; configured flavours: "
+              + "' is not one of "
               + settings().priorityClasses().keySet());
     }
     return context.constraints.unsatisfiableReason(request);
@@ -174,7 +175,7 @@
         () -> {
           if (sessions().isPending(session.client(), name)) {
             context.clients.respond(
-                vm, requestName -> new Failed(requestName, "no decision before the deadline"));
+                vm, requestName -> new Failed(requestName, "no decision in time"));
             context
                 .log
                 .error()
@@ -206,7 +207,7 @@
   private void unreconciledAtDeadline(Vm vm, boolean isPending) {
     if (isPending) {
       context.metrics.responseSent(ClientResponse.Kind.FAILED);
-      failUnreconciled(vm, "; not every machine has sent its inventory");
+      failUnreconciled(vm, "; not every machine has said what it holds");
     } else {
       context.clients.unregister(vm);
     }
@@ -222,7 +223,7 @@
   }
 
   private void failUnreconciled(Vm vm, String detail) {
-    String reason = "the VM may have been started before this scheduler's restart" + detail;
+    String reason = "it may run since before this placer's start" + detail;
     context.clients.respond(vm, name -> new Failed(name, reason));
     context.clients.unregister(vm);
   }
--- a/src/main/java/fordridge/server/grpc/GroupCoordinator.java
+++ b/src/main/java/fordridge/server/grpc/GroupCoordinator.java
@@ -14,7 +14,8 @@
 
 /**
  * The groups of one instance: their members, their plans, and the acceptances that are withheld
- * until the whole group is accepted. Confined to the event loop.
+ * until the whole group is accepted. The reasons in its responses are part of the protocol.
+ * Confined to the event loop.
  */
 final class GroupCoordinator implements VmGroup.MemberActions {
   /** Actions of the instance on the members of a group. */
@@ -93,12 +94,7 @@
     TrackedGroup tracked = groups.computeIfAbsent(id, key -> new TrackedGroup(key, size, this));
     if (tracked.size != size) {
       return Optional.of(
-          "group '"
-              + id.name()
-              + "' was begun with size "
-              + tracked.size
-              + ", this request has "
-              + size);
+          "group '" + id.name() + "' was begun with size " + tracked.size + ", not " + size);
     }
     membersByVmId.put(vm.id, new TrackedMember(vm, tracked));
     tracked.trackedMembers++;
@@ -106,7 +102,7 @@
       return Optional.empty();
     }
     remove(vm);
-    return Optional.of("group '" + id.name() + "' is full or has ended");
+    return Optional.of("group '" + id.name() + "' is full or over");
   }
 
   /** Finds a member by its VM's id, including one that was not passed to the scheduler yet. */
@@ -156,9 +152,7 @@
     }
     VmGroup group = member.tracked.group;
     group.abandon(
-        group.isComplete()
-            ? "not all members were accepted in time"
-            : "not all members were requested in time");
+        group.isComplete() ? "not all were bound in time" : "not all of it were asked for in time");
     removeGroupIfOver(member.tracked);
   }
 
@@ -175,7 +169,7 @@
   void shutdownStarted() {
     for (TrackedGroup tracked : List.copyOf(groups.values())) {
       if (!tracked.group.isComplete()) {
-        tracked.group.abandon("the scheduler is shutting down");
+        tracked.group.abandon("the placer is stopping");
         removeGroupIfOver(tracked);
       }
     }
@@ -246,9 +240,9 @@
   public void cancel(String vmId) {
     Vm vm = memberVm(vmId);
     if (actions.cancel(vm)) {
-      memberFailed(vm, "cancelled with its group");
+      memberFailed(vm, "called off");
     } else {
-      memberRejected(vm, "cancelled with its group");
+      memberRejected(vm, "called off");
     }
   }
 
--- a/src/main/java/fordridge/server/grpc/GrpcSchedulerActions.java
+++ b/src/main/java/fordridge/server/grpc/GrpcSchedulerActions.java
@@ -22,8 +22,9 @@
  * loop.
  */
 final class GrpcSchedulerActions implements SchedulerActions {
-  private static final String NO_CAPACITY = "no capacity found in time";
-  private static final String OUTCOME_UNKNOWN = "the VM may have run; its outcome is unknown";
+  // Reasons in responses to clients; the texts are part of the protocol.
+  private static final String NO_CAPACITY = "no room found in time";
+  private static final String OUTCOME_UNKNOWN = "it may have run; its outcome is not known";
 
   private final InstanceContext context;
   private final GossipSender gossip;
