--- a/src/main/java/fordridge/emulator/ClientBuilder.java
+++ b/src/main/java/fordridge/emulator/ClientBuilder.java
@@ -81,11 +81,11 @@
         plan.clients().priorityClassShares().values().stream()
             .mapToDouble(Double::doubleValue)
             .sum();
-    double left = random.nextDouble() * sumOfShares;
+    double remainingShare = random.nextDouble() * sumOfShares;
     PriorityClassSettings last = null;
     for (PriorityClassSettings candidate : plan.deployment().priorityClasses().values()) {
-      left -= plan.clients().priorityClassShares().get(candidate.name());
-      if (left < 0) {
+      remainingShare -= plan.clients().priorityClassShares().get(candidate.name());
+      if (remainingShare < 0) {
         return candidate;
       }
       last = candidate;
@@ -95,11 +95,11 @@
 
   /** The first tenant where the shares don't add up to one; an empty name without tenants. */
   private String drawTenant() {
-    double left = random.nextDouble();
+    double remainingShare = random.nextDouble();
     List<TenantShare> tenants = plan.deployment().tenants();
     for (TenantShare tenant : tenants) {
-      left -= tenant.share();
-      if (left < 0) {
+      remainingShare -= tenant.share();
+      if (remainingShare < 0) {
         return tenant.name();
       }
     }
--- a/src/main/java/fordridge/emulator/ClientFaults.java
+++ b/src/main/java/fordridge/emulator/ClientFaults.java
@@ -5,7 +5,7 @@
 
 /** Faults of clients and of their streams. */
 final class ClientFaults {
-  private static final int MIN_CUT_MILLIS = 20;
+  private static final int MIN_DISCONNECT_MILLIS = 20;
 
   private final ScenarioPeers peers;
   private final FaultTargets targets;
@@ -17,7 +17,7 @@
     this.timeline = timeline;
   }
 
-  void begin(FaultPlan fault, Random random) {
+  void begin(ScenarioFault fault, Random random) {
     switch (fault.kind()) {
       case BURST -> burst(fault);
       case RECONNECT -> reconnect(fault);
@@ -27,33 +27,33 @@
     }
   }
 
-  private void burst(FaultPlan fault) {
+  private void burst(ScenarioFault fault) {
     for (EmulatedClient client : peers.clients()) {
       client.execute(() -> client.scaleRate(fault.size()));
     }
-    timeline.after(
+    timeline.runAfter(
         fault.length(),
         () -> {
           for (EmulatedClient client : peers.clients()) {
-            client.execute(() -> client.unscaleRate(fault.size()));
+            client.execute(() -> client.undoScaleRate(fault.size()));
           }
         });
   }
 
-  private void reconnect(FaultPlan fault) {
+  private void reconnect(ScenarioFault fault) {
     for (EmulatedClient client : peers.clients()) {
       client.execute(() -> client.restartVms(fault.share(), fault.length()));
     }
   }
 
-  private void cutStreams(FaultPlan fault, Random random) {
-    Duration length = Duration.ofMillis((long) Math.max(MIN_CUT_MILLIS, fault.size()));
+  private void cutStreams(ScenarioFault fault, Random random) {
+    Duration disconnectTime = Duration.ofMillis((long) Math.max(MIN_DISCONNECT_MILLIS, fault.size()));
     for (EmulatedClient client : targets.clients(fault, random)) {
-      client.execute(() -> client.stream().cut(length));
+      client.execute(() -> client.stream().cut(disconnectTime));
     }
   }
 
-  private void cutAtAcceptances(FaultPlan fault, Random random) {
+  private void cutAtAcceptances(ScenarioFault fault, Random random) {
     for (EmulatedClient client : targets.clients(fault, random)) {
       client.execute(
           () -> client.stream().cutAtAcceptances(fault.sizeAtLeastOne(), fault.extraMillis()));
--- a/src/main/java/fordridge/emulator/ConstraintPublisher.java
+++ b/src/main/java/fordridge/emulator/ConstraintPublisher.java
@@ -30,8 +30,8 @@
   private final PrintStream out;
   private final RandomConstraints generator;
   private final List<MachineTopology> fleet;
-  private int refusedSets;
-  private double slowestMillis;
+  private int invalidSets;
+  private double slowestValidationMillis;
 
   ConstraintPublisher(
       ScenarioPlan plan,
@@ -65,17 +65,17 @@
     String text = generator.generate(number);
     long startNanos = System.nanoTime();
     boolean isValid = isValid(text, startNanos);
-    slowestMillis = Math.max(slowestMillis, (System.nanoTime() - startNanos) / 1e6);
+    slowestValidationMillis = Math.max(slowestValidationMillis, (System.nanoTime() - startNanos) / 1e6);
     if (isValid) {
       recordConstraints(recorder, text, plan.deployment().totalSchedulers());
     } else {
-      refusedSets++;
+      invalidSets++;
     }
     etcd.put(plan.deployment().etcd().prefix() + KEY, text);
     if (number + 1 == plan.constraints().generatedSets()) {
       out.printf(
           "%d sets of constraints, %d refused; the slowest validation took %.0f ms%n",
-          plan.constraints().generatedSets(), refusedSets, slowestMillis);
+          plan.constraints().generatedSets(), invalidSets, slowestValidationMillis);
     }
   }
 
--- a/src/main/java/fordridge/emulator/EmulatedClient.java
+++ b/src/main/java/fordridge/emulator/EmulatedClient.java
@@ -28,13 +28,13 @@
  *
  * <p>All its state belongs to its event loop; {@link #execute} is the way in for other threads.
  */
-final class EmulatedClient implements ClientStream.Handler {
+final class EmulatedClient implements EmulatedClientStream.Handler {
   /** A request with less time left is not sent. */
   private static final long MIN_TIME_LEFT_US = 50_000;
 
   private static final long RETRY_AFTER_MIGRATION_US = 50_000;
   private static final long MIN_RETRY_AFTER_LOSS_US = 50_000;
-  private static final int RETRY_AFTER_LOSS_SPREAD_US = 300_000;
+  private static final int RETRY_AFTER_LOSS_JITTER_US = 300_000;
 
   /** A lost VM with less time to run is not requested again. */
   private static final long MIN_REMAINING_LIFE_US = 1_000_000;
@@ -51,11 +51,11 @@
   private final ScenarioPlan.Clients plan;
   private final List<ServiceProfile> services;
   private final UniformRandomProvider random;
-  private final ClientStream stream;
+  private final EmulatedClientStream stream;
   private final Map<String, RequestedVm> pending = new LinkedHashMap<>();
   private final Map<String, RequestedVm> running = new LinkedHashMap<>();
   private final Deque<RequestedVm> unsent = new ArrayDeque<>();
-  private long lastWorkload;
+  private long lastWorkloadNumber;
   private double ratePerSecond;
   private volatile int pendingCount;
 
@@ -81,7 +81,7 @@
     this.plan = plan;
     this.services = services;
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(identity.seed());
-    stream = new ClientStream(name, identity.port(), loop, recorder, random, this);
+    stream = new EmulatedClientStream(name, identity.port(), loop, recorder, random, this);
   }
 
   /** Does something to the client on its event loop. */
@@ -97,7 +97,7 @@
   // On the event loop from here on.
 
   /** The stream to its scheduler, for faults. */
-  ClientStream stream() {
+  EmulatedClientStream stream() {
     return stream;
   }
 
@@ -107,13 +107,13 @@
   }
 
   /** Ends an earlier {@link #scaleRate} by the same factor. */
-  void unscaleRate(double factor) {
+  void undoScaleRate(double factor) {
     ratePerSecond /= factor;
   }
 
   /** Requests VMs until this time of the recording. */
   void requestUntil(long endUs) {
-    double waitSeconds = -Math.log(1 - random.nextDouble()) * plan.batch() / ratePerSecond;
+    double waitSeconds = -Math.log(1 - random.nextDouble()) * plan.meanBatchSize() / ratePerSecond;
     Timers.schedule(
         loop,
         Duration.ofNanos(TimeUnit.MICROSECONDS.toNanos((long) (waitSeconds * 1e6))),
@@ -127,19 +127,19 @@
 
   private void requestBatch() {
     ServiceProfile service = services.get(random.nextInt(services.size()));
-    int count = 1 + random.nextInt((int) Math.round(2 * plan.batch() - 1));
+    int count = 1 + random.nextInt((int) Math.round(2 * plan.meanBatchSize() - 1));
     for (int i = 0; i < count; i++) {
-      requestNew(service);
+      requestNewVm(service);
     }
   }
 
-  private void requestNew(ServiceProfile service) {
+  private void requestNewVm(ServiceProfile service) {
     double lifeSeconds =
         Math.max(
             MIN_LIFE_SECONDS,
             service.meanLifeSeconds() * -Math.log(1 - random.nextDouble() * LIFE_QUANTILE));
-    lastWorkload++;
-    String workload = name + "-" + lastWorkload;
+    lastWorkloadNumber++;
+    String workload = name + "-" + lastWorkloadNumber;
     outcomes.requested(service);
     request(new RequestedVm(workload, service, recorder.nowUs(), (long) (lifeSeconds * 1e6)));
   }
@@ -159,14 +159,14 @@
   }
 
   private void requestAgain(RequestedVm vm, long delayUs) {
-    if (vm.requests() < plan.maxAttempts() && stream.isOpen()) {
+    if (vm.requestCount() < plan.maxAttempts() && stream.isOpen()) {
       Timers.schedule(
           loop, Duration.ofNanos(TimeUnit.MICROSECONDS.toNanos(delayUs)), () -> request(vm));
     }
   }
 
   private void request(RequestedVm vm) {
-    vm.requested(recorder.nowUs());
+    vm.markRequested(recorder.nowUs());
     unsent.addLast(vm);
     writable();
   }
@@ -187,11 +187,11 @@
     if (timeLeftUs <= MIN_TIME_LEFT_US) {
       return;
     }
-    pending.put(vm.vm(), vm);
+    pending.put(vm.requestName(), vm);
     pendingCount = pending.size();
     recorder
         .event(name, RecordKind.PLACEMENT_REQUESTED)
-        .with(RecordField.VM, vm.vm())
+        .with(RecordField.VM, vm.requestName())
         .with(RecordField.WORKLOAD, vm.workload)
         .with(RecordField.PRIORITY_CLASS, vm.service.priorityClass().name())
         .with(RecordField.TIME_LEFT, timeLeftUs)
@@ -205,7 +205,7 @@
         ClientMessage.newBuilder()
             .setWant(
                 Want.newBuilder()
-                    .setVm(vm.vm())
+                    .setVm(vm.requestName())
                     .setWorkload(vm.workload)
                     .setFlavour(service.priorityClass().name())
                     .setService(service.number())
@@ -214,7 +214,7 @@
                     .setMemory(service.shape().memory())
                     .setTimeLeftUs(Math.max(1, vm.timeLeftUs(recorder.nowUs())))
                     .setLastsUs(vm.remainingLifeUs())
-                    .setAgain(vm.requests() > 1)));
+                    .setAgain(vm.requestCount() > 1)));
   }
 
   /**
@@ -254,7 +254,7 @@
     removePending(bound.getVm())
         .ifPresent(
             vm -> {
-              if (vm.running(nowUs)) {
+              if (vm.markRunning(nowUs)) {
                 outcomes.running(vm.service, vm.sinceFirstRequestUs(nowUs));
               }
               running.put(bound.getVm(), vm);
@@ -300,10 +300,10 @@
       return;
     }
     outcomes.ended(vm.service, how);
-    vm.ended(nowUs);
+    vm.markEnded(nowUs);
     boolean isLost = how != Ended.How.DONE && how != Ended.How.ERROR;
     if (isLost && vm.remainingLifeUs() > MIN_REMAINING_LIFE_US) {
-      requestAgain(vm, MIN_RETRY_AFTER_LOSS_US + random.nextInt(RETRY_AFTER_LOSS_SPREAD_US));
+      requestAgain(vm, MIN_RETRY_AFTER_LOSS_US + random.nextInt(RETRY_AFTER_LOSS_JITTER_US));
     }
   }
 
--- a/src/main/java/fordridge/emulator/ClientStream.java
+++ b/src/main/java/fordridge/emulator/EmulatedClientStream.java
@@ -23,12 +23,12 @@
  * A client's stream to its scheduler: connects, reconnects after a break, resumes the session by
  * its token, and acknowledges what it received. All its state belongs to the client's event loop.
  */
-final class ClientStream {
+final class EmulatedClientStream {
   private static final int MIN_RECONNECT_MILLIS = 20;
-  private static final int RECONNECT_SPREAD_MILLIS = 60;
+  private static final int RECONNECT_JITTER_MILLIS = 60;
 
   /** Messages are acknowledged when so many have arrived since the last acknowledgement. */
-  private static final int ACKNOWLEDGE_EVERY = 16;
+  private static final int MESSAGES_PER_ACKNOWLEDGEMENT = 16;
 
   /** Hears of the session, on the event loop. */
   interface Handler {
@@ -55,14 +55,14 @@
   private int generation;
 
   private boolean isOpen;
-  private boolean isWelcomed;
+  private boolean isSessionEstablished;
   private String resumeToken = "";
-  private long lastSeen;
-  private long lastAcknowledged;
+  private long lastReceivedSequence;
+  private long lastAcknowledgedSequence;
   private int acceptancesToCut;
-  private Duration cutLength = Duration.ZERO;
+  private Duration disconnectTime = Duration.ZERO;
 
-  ClientStream(
+  EmulatedClientStream(
       String client,
       int port,
       EventLoop loop,
@@ -98,7 +98,7 @@
     recorder
         .event(client, RecordKind.HELLO)
         .with(RecordField.IS_RESUMING, !resumeToken.isEmpty())
-        .with(RecordField.LAST_SEEN_SEQUENCE, lastSeen)
+        .with(RecordField.LAST_SEEN_SEQUENCE, lastReceivedSequence)
         .write();
     write(
         ClientMessage.newBuilder()
@@ -106,7 +106,7 @@
                 Hello.newBuilder()
                     .setClient(client)
                     .setResumeToken(resumeToken)
-                    .setSeen(lastSeen)));
+                    .setSeen(lastReceivedSequence)));
   }
 
   private ManagedChannel newChannel() {
@@ -152,47 +152,47 @@
     @Override
     public void onError(Throwable cause) {
       if (isCurrent()) {
-        broken(cause.toString());
+        streamBroken(cause.toString());
       }
     }
 
     @Override
     public void onCompleted() {
       if (isCurrent()) {
-        broken("completed");
+        streamBroken("completed");
       }
     }
   }
 
-  private void broken(String reason) {
-    forgetStream();
+  private void streamBroken(String reason) {
+    dropStream();
     recorder.event(client, RecordKind.STREAM_BROKEN).with(RecordField.REASON, reason).write();
-    int delayMillis = MIN_RECONNECT_MILLIS + random.nextInt(RECONNECT_SPREAD_MILLIS);
+    int delayMillis = MIN_RECONNECT_MILLIS + random.nextInt(RECONNECT_JITTER_MILLIS);
     Timers.schedule(loop, Duration.ofMillis(delayMillis), this::connect);
   }
 
-  private void forgetStream() {
+  private void dropStream() {
     stream = Optional.empty();
-    isWelcomed = false;
+    isSessionEstablished = false;
     generation++;
   }
 
   /** Breaks the stream, and connects again after a while. */
-  void cut(Duration length) {
+  void cut(Duration disconnectTime) {
     if (stream.isEmpty()) {
       return;
     }
     ClientCallStreamObserver<ClientMessage> old = stream.get();
-    forgetStream();
+    dropStream();
     recorder.event(client, RecordKind.CUT).write();
     old.cancel("cut", null);
-    Timers.schedule(loop, length, this::connect);
+    Timers.schedule(loop, disconnectTime, this::connect);
   }
 
   /** Breaks the stream at the next acceptances, before they are seen or acknowledged. */
-  void cutAtAcceptances(int times, Duration length) {
+  void cutAtAcceptances(int times, Duration newDisconnectTime) {
     acceptancesToCut = times;
-    cutLength = length;
+    disconnectTime = newDisconnectTime;
   }
 
   void close() {
@@ -208,7 +208,7 @@
 
   /** Whether a request written now leaves at once. */
   boolean isWritable() {
-    return isWelcomed && stream.isPresent() && stream.get().isReady();
+    return isSessionEstablished && stream.isPresent() && stream.get().isReady();
   }
 
   /** Writes a message; it is lost if there is no stream. */
@@ -220,18 +220,18 @@
     long nowUs = recorder.nowUs();
     if (message.hasBound() && acceptancesToCut > 0) {
       acceptancesToCut--;
-      cut(cutLength);
+      cut(disconnectTime);
       return;
     }
     if (message.getSeq() > 0) {
-      if (message.getSeq() <= lastSeen) {
+      if (message.getSeq() <= lastReceivedSequence) {
         recorder
             .event(client, RecordKind.REPEATED)
             .with(RecordField.SEQUENCE, message.getSeq())
             .write();
         return;
       }
-      lastSeen = message.getSeq();
+      lastReceivedSequence = message.getSeq();
     }
     if (message.hasWelcome()) {
       welcomed(message.getWelcome());
@@ -247,18 +247,18 @@
         .with(RecordField.IS_RESUMED, welcome.getResumed())
         .write();
     if (!welcome.getResumed()) {
-      lastSeen = 0;
-      lastAcknowledged = 0;
+      lastReceivedSequence = 0;
+      lastAcknowledgedSequence = 0;
     }
     resumeToken = welcome.getResumeToken();
-    isWelcomed = true;
+    isSessionEstablished = true;
     handler.connected();
   }
 
   private void acknowledge() {
-    if (lastSeen - lastAcknowledged >= ACKNOWLEDGE_EVERY) {
-      lastAcknowledged = lastSeen;
-      write(ClientMessage.newBuilder().setAck(Ack.newBuilder().setSeen(lastSeen)));
+    if (lastReceivedSequence - lastAcknowledgedSequence >= MESSAGES_PER_ACKNOWLEDGEMENT) {
+      lastAcknowledgedSequence = lastReceivedSequence;
+      write(ClientMessage.newBuilder().setAck(Ack.newBuilder().setSeen(lastReceivedSequence)));
     }
   }
 }
--- a/src/main/java/fordridge/emulator/EmulatedEtcd.java
+++ b/src/main/java/fordridge/emulator/EmulatedEtcd.java
@@ -17,10 +17,10 @@
  * that always leads unless it is made leaderless. Thread-safe.
  */
 public final class EmulatedEtcd implements AutoCloseable {
-  private static final int DEFAULT_PROGRESS_MILLIS = 500;
-  private static final Duration EXPIRY_INTERVAL = Duration.ofMillis(20);
+  private static final int DEFAULT_PROGRESS_INTERVAL_MILLIS = 500;
+  private static final Duration LEASE_EXPIRY_CHECK_INTERVAL = Duration.ofMillis(20);
   private static final int MAX_MESSAGE_BYTES = 16 << 20;
-  private static final int MIN_KEEP_ALIVE_MILLIS = 50;
+  private static final int MIN_KEEPALIVE_INTERVAL_MILLIS = 50;
 
   /** Hears what is sent to which client; called under the lock of the state. */
   interface SendListener {
@@ -48,16 +48,16 @@
 
   /** Begins to serve on a free port. */
   public EmulatedEtcd() throws IOException {
-    this(0, DEFAULT_PROGRESS_MILLIS);
+    this(0, DEFAULT_PROGRESS_INTERVAL_MILLIS);
   }
 
   /**
    * Begins to serve.
    *
    * @param port on loopback; 0 for a free one
-   * @param progressMillis how often progress is sent to the watches that want it
+   * @param progressIntervalMillis how often progress is sent to the watches that want it
    */
-  public EmulatedEtcd(int port, long progressMillis) throws IOException {
+  public EmulatedEtcd(int port, long progressIntervalMillis) throws IOException {
     server =
         NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
             .intercept(interceptor)
@@ -65,12 +65,12 @@
             .addService(new EtcdWatchService(state))
             .addService(new EtcdLeaseService(state))
             .maxInboundMessageSize(MAX_MESSAGE_BYTES)
-            .permitKeepAliveTime(MIN_KEEP_ALIVE_MILLIS, TimeUnit.MILLISECONDS)
+            .permitKeepAliveTime(MIN_KEEPALIVE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)
             .permitKeepAliveWithoutCalls(true)
             .build()
             .start();
-    Timers.repeat(executor, EXPIRY_INTERVAL, this::revokeExpired);
-    Timers.repeat(executor, Duration.ofMillis(progressMillis), this::sendProgress);
+    Timers.repeat(executor, LEASE_EXPIRY_CHECK_INTERVAL, this::revokeExpired);
+    Timers.repeat(executor, Duration.ofMillis(progressIntervalMillis), this::sendProgress);
   }
 
   private void revokeExpired() {
@@ -81,7 +81,7 @@
 
   private void sendProgress() {
     synchronized (state) {
-      state.sendProgress();
+      state.sendPeriodicProgress();
     }
   }
 
@@ -157,14 +157,14 @@
   /** The number of range requests so far. */
   public long ranges() {
     synchronized (state) {
-      return state.rangeRequests();
+      return state.rangeRequestCount();
     }
   }
 
   /** The number of open watches. */
   public int watchers() {
     synchronized (state) {
-      return state.watches();
+      return state.watchCount();
     }
   }
 
@@ -193,16 +193,16 @@
         // The present revision is compacted already.
         return;
       }
-      state.sendToWatches();
+      state.sendPendingEvents();
     }
   }
 
   /** Watches stay open and nothing is sent: no events, no progress. */
-  public void silence(boolean on) {
+  public void setSilent(boolean on) {
     synchronized (state) {
       state.faults().isSilent = on;
       if (!on) {
-        state.sendToWatches();
+        state.sendPendingEvents();
       }
     }
   }
@@ -212,7 +212,7 @@
     synchronized (state) {
       state.faults().isLeaderless = on;
       if (on) {
-        state.endWatches();
+        state.endWatchStreams();
       }
     }
   }
@@ -225,7 +225,7 @@
   }
 
   /** Events are sent this much later. */
-  public void delay(long millis) {
+  public void setEventDelayMillis(long millis) {
     synchronized (state) {
       state.faults().eventDelayMillis = millis;
     }
@@ -234,13 +234,13 @@
   /**
    * Limits the events in one response, where the watch allows fragments.
    *
-   * @param most events in a response
+   * @param maxEvents events in a response
    * @param resetAfter the first stream that has been sent so many responses is reset; 0 for none
    */
-  public void fragments(int most, int resetAfter) {
+  public void fragments(int maxEvents, int resetAfter) {
     synchronized (state) {
-      state.faults().fragmentEvents = most;
-      state.faults().resetAfterFragments = resetAfter;
+      state.faults().maxEventsPerFragment = maxEvents;
+      state.faults().fragmentsBeforeReset = resetAfter;
     }
   }
 
@@ -254,7 +254,7 @@
   /** Ends all watches. */
   public void cut() {
     synchronized (state) {
-      state.endWatches();
+      state.endWatchStreams();
     }
   }
 
@@ -263,9 +263,9 @@
     synchronized (state) {
       state.store().restore(revision);
       if (otherCluster) {
-        state.changeCluster();
+        state.changeClusterId();
       }
-      state.endWatches();
+      state.endWatchStreams();
     }
   }
 
--- a/src/main/java/fordridge/emulator/EmulatedMachine.java
+++ b/src/main/java/fordridge/emulator/EmulatedMachine.java
@@ -86,17 +86,17 @@
     model.advanceTo(now());
     action.run();
     model.advanceTo(now());
-    model.nextEventAt().ifPresent(this::wakeUpBy);
+    model.nextEventAt().ifPresent(this::scheduleWakeUp);
   }
 
-  private void wakeUpBy(Duration next) {
-    if (wakeUpAt.isPresent() && next.compareTo(wakeUpAt.get()) >= 0) {
+  private void scheduleWakeUp(Duration eventAt) {
+    if (wakeUpAt.isPresent() && eventAt.compareTo(wakeUpAt.get()) >= 0) {
       return;
     }
-    wakeUpAt = Optional.of(next);
+    wakeUpAt = Optional.of(eventAt);
     Timers.schedule(
         loop,
-        next.minus(now()),
+        eventAt.minus(now()),
         () -> {
           wakeUpAt = Optional.empty();
           run(() -> {});
@@ -111,16 +111,16 @@
 
   @Override
   public void greeted(String scheduler, ServerCallStreamObserver<FromMachine> stream) {
-    run(() -> takeGreeting(scheduler, stream));
+    run(() -> handleGreeting(scheduler, stream));
   }
 
-  private void takeGreeting(String scheduler, ServerCallStreamObserver<FromMachine> stream) {
+  private void handleGreeting(String scheduler, ServerCallStreamObserver<FromMachine> stream) {
     event(RecordKind.GREETING).with(RecordField.SCHEDULER, scheduler).write();
     if (socketFaults.isMute()) {
       return;
     }
     streams.opened(scheduler, stream);
-    if (socketFaults.takeCut(CutPoint.AFTER_GREETING)) {
+    if (socketFaults.consumeCut(CutPoint.AFTER_GREETING)) {
       streams.cut(scheduler);
       return;
     }
@@ -134,14 +134,14 @@
 
   @Override
   public void received(String scheduler, ToMachine message) {
-    run(() -> take(scheduler, message));
+    run(() -> handleMessage(scheduler, message));
   }
 
-  private void take(String scheduler, ToMachine message) {
+  private void handleMessage(String scheduler, ToMachine message) {
     switch (message.getBodyCase()) {
-      case OFFER -> takeOffer(scheduler, message.getOffer());
-      case CANCEL -> takeCancel(RecordKind.CANCEL, scheduler, message.getCancel().getClaim());
-      case STOP -> takeCancel(RecordKind.STOP, scheduler, message.getStop().getClaim());
+      case OFFER -> handleOffer(scheduler, message.getOffer());
+      case CANCEL -> handleCancel(RecordKind.CANCEL, scheduler, message.getCancel().getClaim());
+      case STOP -> handleCancel(RecordKind.STOP, scheduler, message.getStop().getClaim());
       case PROBE -> {
         event(RecordKind.PROBE).with(RecordField.SCHEDULER, scheduler).write();
         model.probed(scheduler, message.getProbe().getNumber());
@@ -150,7 +150,7 @@
     }
   }
 
-  private void takeOffer(String scheduler, Offer offer) {
+  private void handleOffer(String scheduler, Offer offer) {
     event(RecordKind.OFFER)
         .with(RecordField.SCHEDULER, scheduler)
         .with(RecordField.VM, offer.getClaim().getVm())
@@ -160,13 +160,13 @@
         .with(RecordField.TENANT, offer.getCustomer())
         .with(RecordField.TIME_LEFT_AT_OFFER, offer.getWithinUs())
         .write();
-    if (socketFaults.takeCut(CutPoint.AFTER_OFFER_READ, offer.getFlavour())) {
+    if (socketFaults.consumeCut(CutPoint.AFTER_OFFER_READ, offer.getFlavour())) {
       streams.cut(scheduler);
     }
     model.offered(MachineMessages.offeredVm(scheduler, offer, now()));
   }
 
-  private void takeCancel(RecordKind kind, String scheduler, ClaimName claim) {
+  private void handleCancel(RecordKind kind, String scheduler, ClaimName claim) {
     event(kind)
         .with(RecordField.SCHEDULER, scheduler)
         .with(RecordField.VM, claim.getVm())
@@ -184,12 +184,12 @@
 
   @Override
   public void accepted(HostedVm vm) {
-    answer(vm, MachineMessages.accepted(vm), event(RecordKind.ACCEPTED, vm));
+    sendResponse(vm, MachineMessages.accepted(vm), event(RecordKind.ACCEPTED, vm));
   }
 
   @Override
   public void refused(HostedVm vm, RefusalReason reason) {
-    answer(
+    sendResponse(
         vm,
         MachineMessages.refused(vm, reason, model),
         event(RecordKind.REFUSED, vm).with(RecordField.REASON, reason.text()));
@@ -199,21 +199,21 @@
   public void started(HostedVm vm) {
     String scheduler = vm.offer().attempt().scheduler();
     String priorityClass = vm.offer().priorityClass();
-    if (socketFaults.takeCut(CutPoint.BEFORE_START_ANSWER, priorityClass)) {
+    if (socketFaults.consumeCut(CutPoint.BEFORE_START_RESPONSE, priorityClass)) {
       streams.cut(scheduler);
     }
-    answer(
+    sendResponse(
         vm,
         MachineMessages.started(vm, model),
         event(RecordKind.STARTED, vm).with(RecordField.PRIORITY_CLASS, priorityClass));
-    if (socketFaults.takeCut(CutPoint.AFTER_START_ANSWER, priorityClass)) {
+    if (socketFaults.consumeCut(CutPoint.AFTER_START_RESPONSE, priorityClass)) {
       streams.cut(scheduler);
     }
   }
 
   @Override
   public void finished(HostedVm vm, VmEnd end, boolean hasRun) {
-    answer(
+    sendResponse(
         vm,
         MachineMessages.finished(vm, end, hasRun),
         event(RecordKind.FINISHED, vm)
@@ -222,7 +222,7 @@
   }
 
   /** Sends an answer, unless a fault keeps it back. */
-  private void answer(HostedVm vm, FromMachine message, WireRecorder.Event event) {
+  private void sendResponse(HostedVm vm, FromMachine message, WireRecorder.Event event) {
     String scheduler = vm.offer().attempt().scheduler();
     Optional<ServerCallStreamObserver<FromMachine>> stream = streams.find(scheduler);
     boolean isLost = !isWritable(stream) || socketFaults.drawLoss();
@@ -255,22 +255,22 @@
 
   @Override
   public void usage(HostedVm vm, double cores, double memory) {
-    note(vm, Note.What.CORES, cores);
-    note(vm, Note.What.MEMORY, memory);
+    sendNote(vm, Note.What.CORES, cores);
+    sendNote(vm, Note.What.MEMORY, memory);
   }
 
   @Override
   public void degraded(HostedVm vm, double share) {
-    note(vm, Note.What.SERVICE, share);
+    sendNote(vm, Note.What.SERVICE, share);
   }
 
   @Override
   public void memoryPressure(HostedVm vm, double share) {
-    note(vm, Note.What.PRESSURE, share);
+    sendNote(vm, Note.What.PRESSURE, share);
   }
 
   /** Notes are not answers: they are dropped while the stream is slow. */
-  private void note(HostedVm vm, Note.What subject, double amount) {
+  private void sendNote(HostedVm vm, Note.What subject, double amount) {
     String scheduler = vm.offer().attempt().scheduler();
     Optional<ServerCallStreamObserver<FromMachine>> stream = streams.find(scheduler);
     if (socketFaults.isHung() || stream.isEmpty() || !stream.get().isReady()) {
@@ -332,7 +332,7 @@
   void crash() {
     event(RecordKind.CRASH).write();
     model.crash();
-    streams.clear();
+    streams.forgetAll();
     socketFaults.setHung(true);
     server.kill();
   }
@@ -342,7 +342,7 @@
     if (socketFaults.isVanished()) {
       event(RecordKind.CRASH).write();
       server.kill();
-      streams.clear();
+      streams.forgetAll();
       server.forgetListener();
     }
     socketFaults.setVanished(false);
@@ -350,8 +350,8 @@
     model.restart(now());
     recordStart();
     // A spare machine that joins the fleet listens already.
-    if (server.takeKilled()) {
-      startServerAgain();
+    if (server.getAndClearKilled()) {
+      restartServer();
     }
   }
 
@@ -368,12 +368,12 @@
   }
 
   /** Starting waits for the event loop, so it is done on a thread of its own. */
-  private void startServerAgain() {
-    Thread starter =
+  private void restartServer() {
+    Thread thread =
         new Thread(
             () -> {
               try {
-                server.startAgain();
+                server.restart();
               } catch (IOException e) {
                 event(RecordKind.MACHINE_START_FAILED)
                     .with(RecordField.REASON, e.toString())
@@ -383,8 +383,8 @@
               }
             },
             "restart-" + name());
-    starter.setDaemon(true);
-    starter.start();
+    thread.setDaemon(true);
+    thread.start();
   }
 
   void close() {
--- a/src/main/java/fordridge/emulator/EmulatedRegistry.java
+++ b/src/main/java/fordridge/emulator/EmulatedRegistry.java
@@ -28,7 +28,7 @@
 
   private record PublishedState(State state, Optional<Instant> startedAt) {}
 
-  private final MachineListPublisher publisher;
+  private final MachineListWriter publisher;
   private final WireRecorder recorder;
   private final long delayUs;
   private final ScheduledExecutorService executor = Timers.singleThread("registry");
@@ -40,23 +40,23 @@
   private final Map<String, PublishedState> published = new HashMap<>();
   private final Deque<Snapshot> snapshots = new ArrayDeque<>();
 
-  EmulatedRegistry(MachineListPublisher publisher, WireRecorder recorder, Duration delay) {
+  EmulatedRegistry(MachineListWriter publisher, WireRecorder recorder, Duration delay) {
     this.publisher = publisher;
     this.recorder = recorder;
     delayUs = delay.toNanos() / 1000;
   }
 
   /** Registers a machine, or changes its state. */
-  void set(EmulatedMachine machine, State state) {
-    set(machine, state, Optional.empty());
+  void setState(EmulatedMachine machine, State state) {
+    setState(machine, state, Optional.empty());
   }
 
   /** A machine is live again, since this time. */
   void setRestarted(EmulatedMachine machine, Instant startedAt) {
-    set(machine, State.LIVE, Optional.of(startedAt));
+    setState(machine, State.LIVE, Optional.of(startedAt));
   }
 
-  private synchronized void set(EmulatedMachine machine, State state, Optional<Instant> startedAt) {
+  private synchronized void setState(EmulatedMachine machine, State state, Optional<Instant> startedAt) {
     RegisteredMachine old = machines.get(machine.name());
     double freeCores = old == null ? machine.spec().capacity().cores() : old.freeCores();
     double freeMemory = old == null ? machine.spec().capacity().memory() : old.freeMemory();
@@ -116,7 +116,7 @@
 
   /** A machine may be used as soon as the list is visible, and is closed no earlier than that. */
   private void publish(Collection<RegisteredMachine> list) throws IOException {
-    publisher.publish(list, () -> recordChanges(list, true), () -> recordChanges(list, false));
+    publisher.write(list, () -> recordChanges(list, true), () -> recordChanges(list, false));
   }
 
   private void recordChanges(Collection<RegisteredMachine> list, boolean ofLiveMachines) {
--- a/src/main/java/fordridge/emulator/EtcdFaults.java
+++ b/src/main/java/fordridge/emulator/EtcdFaults.java
@@ -2,7 +2,7 @@
 
 /** The faults in force at the emulated etcd. Guarded by the lock of {@link EtcdState}. */
 final class EtcdFaults {
-  private static final int DEFAULT_FRAGMENT_EVENTS = 1000;
+  private static final int DEFAULT_MAX_EVENTS_PER_FRAGMENT = 1000;
 
   /** Watches stay open and nothing is sent: no events, no progress. */
   boolean isSilent;
@@ -17,8 +17,8 @@
   long eventDelayMillis;
 
   /** The most events in one response, where the watch allows fragments. */
-  int fragmentEvents = DEFAULT_FRAGMENT_EVENTS;
+  int maxEventsPerFragment = DEFAULT_MAX_EVENTS_PER_FRAGMENT;
 
   /** The first stream that has been sent so many responses with events is reset; 0 for none. */
-  int resetAfterFragments;
+  int fragmentsBeforeReset;
 }
--- a/src/main/java/fordridge/emulator/EtcdKvService.java
+++ b/src/main/java/fordridge/emulator/EtcdKvService.java
@@ -101,7 +101,7 @@
         observer,
         () -> {
           state.store().begin();
-          TxnResponse.Builder response = transaction(request);
+          TxnResponse.Builder response = runTransaction(request);
           state.commit();
           return response.setHeader(state.header()).build();
         });
@@ -127,7 +127,7 @@
       try {
         response = operation.run();
       } catch (MvccStore.RevisionUnavailableException e) {
-        observer.onError(unavailable(e).asRuntimeException());
+        observer.onError(outOfRange(e).asRuntimeException());
         return;
       }
     }
@@ -135,9 +135,9 @@
     observer.onCompleted();
   }
 
-  private static Status unavailable(MvccStore.RevisionUnavailableException e) {
+  private static Status outOfRange(MvccStore.RevisionUnavailableException exception) {
     return Status.OUT_OF_RANGE.withDescription(
-        e.isCompacted()
+        exception.isCompacted()
             ? "etcdserver: mvcc: required revision has been compacted"
             : "etcdserver: mvcc: required revision is a future revision");
   }
@@ -146,7 +146,7 @@
     List<KeyValue> entries =
         new ArrayList<>(
             state.store().range(request.getKey(), request.getRangeEnd(), request.getRevision()));
-    entries.removeIf(entry -> !isInModRevisions(request, entry.getModRevision()));
+    entries.removeIf(entry -> !isInModRevisionBounds(request, entry.getModRevision()));
     sort(request, entries);
     RangeResponse.Builder response =
         RangeResponse.newBuilder().setHeader(state.header()).setCount(entries.size());
@@ -156,10 +156,10 @@
     return response.build();
   }
 
-  private static boolean isInModRevisions(RangeRequest request, long revision) {
-    long least = request.getMinModRevision();
-    long most = request.getMaxModRevision();
-    return (least <= 0 || revision >= least) && (most <= 0 || revision <= most);
+  private static boolean isInModRevisionBounds(RangeRequest request, long revision) {
+    long min = request.getMinModRevision();
+    long max = request.getMaxModRevision();
+    return (min <= 0 || revision >= min) && (max <= 0 || revision <= max);
   }
 
   private static void sort(RangeRequest request, List<KeyValue> entries) {
@@ -204,17 +204,17 @@
     return request.getPrevKv() ? response.addAllPrevKvs(deleted) : response;
   }
 
-  private TxnResponse.Builder transaction(TxnRequest request)
+  private TxnResponse.Builder runTransaction(TxnRequest request)
       throws MvccStore.RevisionUnavailableException {
-    boolean isSuccess = request.getCompareList().stream().allMatch(state.store()::holds);
+    boolean isSuccess = request.getCompareList().stream().allMatch(state.store()::isSatisfied);
     TxnResponse.Builder response = TxnResponse.newBuilder().setSucceeded(isSuccess);
     for (RequestOp operation : isSuccess ? request.getSuccessList() : request.getFailureList()) {
-      response.addResponses(operation(operation));
+      response.addResponses(runOperation(operation));
     }
     return response;
   }
 
-  private ResponseOp operation(RequestOp request) throws MvccStore.RevisionUnavailableException {
+  private ResponseOp runOperation(RequestOp request) throws MvccStore.RevisionUnavailableException {
     ResponseOp.Builder response = ResponseOp.newBuilder();
     switch (request.getRequestCase()) {
       case REQUEST_RANGE -> response.setResponseRange(range(request.getRequestRange()));
@@ -224,7 +224,7 @@
           response.setResponseDeleteRange(
               delete(request.getRequestDeleteRange()).setHeader(state.header()));
       default ->
-          response.setResponseTxn(transaction(request.getRequestTxn()).setHeader(state.header()));
+          response.setResponseTxn(runTransaction(request.getRequestTxn()).setHeader(state.header()));
     }
     return response.build();
   }
--- a/src/main/java/fordridge/emulator/EtcdLeaseService.java
+++ b/src/main/java/fordridge/emulator/EtcdLeaseService.java
@@ -102,7 +102,7 @@
               .setTTL(state.leases().remainingSeconds(id))
               .setGrantedTTL(state.leases().grantedTtlSeconds(id));
       if (request.getKeys()) {
-        response.addAllKeys(state.store().leased(id));
+        response.addAllKeys(state.store().keysWithLease(id));
       }
       observer.onNext(response.build());
     }
--- a/src/main/java/fordridge/emulator/EtcdLeases.java
+++ b/src/main/java/fordridge/emulator/EtcdLeases.java
@@ -28,8 +28,8 @@
   }
 
   /** Grants a lease; its id is drawn if none is wanted. */
-  long grant(long wantedId, long ttlSeconds) {
-    long id = wantedId != 0 ? wantedId : nextId++;
+  long grant(long requestedId, long ttlSeconds) {
+    long id = requestedId != 0 ? requestedId : nextId++;
     leases.put(id, Lease.startingNow(ttlSeconds));
     return id;
   }
--- a/src/main/java/fordridge/emulator/EtcdPublisher.java
+++ b/src/main/java/fordridge/emulator/EtcdMachineListWriter.java
@@ -12,28 +12,28 @@
  * and one for each drain. Records that did not change are not written; all changes have one
  * revision.
  */
-final class EtcdPublisher implements MachineListPublisher {
+final class EtcdMachineListWriter implements MachineListWriter {
   private static final String DRAIN_RECORD = "{\"v\":2}";
 
   private final EmulatedEtcd etcd;
   private final String prefix;
   private final Map<String, String> published = new HashMap<>();
 
-  EtcdPublisher(EmulatedEtcd etcd, String prefix) {
+  EtcdMachineListWriter(EmulatedEtcd etcd, String prefix) {
     this.etcd = etcd;
     this.prefix = prefix;
   }
 
   @Override
-  public void publish(
+  public void write(
       Collection<RegisteredMachine> machines, Runnable beforeVisible, Runnable afterVisible) {
     Map<String, String> changes = new LinkedHashMap<>();
     for (RegisteredMachine registered : machines) {
       String name = registered.machine().name();
       boolean isGone = registered.isIn(RegisteredMachine.State.GONE);
       boolean isDraining = registered.isIn(RegisteredMachine.State.DRAINING);
-      change(changes, prefix + "/machines/" + name, isGone ? null : machineRecord(registered));
-      change(changes, prefix + "/drains/" + name, isDraining ? DRAIN_RECORD : null);
+      addIfChanged(changes, prefix + "/machines/" + name, isGone ? null : machineRecord(registered));
+      addIfChanged(changes, prefix + "/drains/" + name, isDraining ? DRAIN_RECORD : null);
     }
     beforeVisible.run();
     if (!changes.isEmpty()) {
@@ -43,7 +43,7 @@
   }
 
   /** A null value deletes the record. */
-  private void change(Map<String, String> changes, String key, String value) {
+  private void addIfChanged(Map<String, String> changes, String key, String value) {
     if (!Objects.equals(published.put(key, value), value)) {
       changes.put(key, value);
     }
--- a/src/main/java/fordridge/emulator/EtcdState.java
+++ b/src/main/java/fordridge/emulator/EtcdState.java
@@ -24,7 +24,7 @@
   private final ScheduledExecutorService executor;
   private EmulatedEtcd.SendListener sendListener = EmulatedEtcd.SendListener.NONE;
   private long clusterId = FIRST_CLUSTER_ID;
-  private long rangeRequests;
+  private long rangeRequestCount;
 
   /** Delayed work runs on the executor, which takes the lock itself. */
   EtcdState(ScheduledExecutorService executor) {
@@ -55,16 +55,16 @@
     sendListener = listener;
   }
 
-  long rangeRequests() {
-    return rangeRequests;
+  long rangeRequestCount() {
+    return rangeRequestCount;
   }
 
   void countRangeRequest() {
-    rangeRequests++;
+    rangeRequestCount++;
   }
 
   /** Watches of another cluster than before. */
-  void changeCluster() {
+  void changeClusterId() {
     clusterId++;
   }
 
@@ -89,19 +89,19 @@
   void commit() {
     List<Event> events = store.commit();
     if (!events.isEmpty()) {
-      sendToWatches();
+      sendPendingEvents();
     }
   }
 
-  void sendToWatches() {
+  void sendPendingEvents() {
     List.copyOf(streams).forEach(EtcdWatchStream::sendPending);
   }
 
-  void sendProgress() {
-    List.copyOf(streams).forEach(EtcdWatchStream::sendRequestedProgress);
+  void sendPeriodicProgress() {
+    List.copyOf(streams).forEach(EtcdWatchStream::sendPeriodicProgress);
   }
 
-  void endWatches() {
+  void endWatchStreams() {
     List.copyOf(streams).forEach(stream -> stream.end(noLeader()));
   }
 
@@ -113,18 +113,18 @@
     streams.remove(stream);
   }
 
-  int watches() {
-    return streams.stream().mapToInt(EtcdWatchStream::watches).sum();
+  int watchCount() {
+    return streams.stream().mapToInt(EtcdWatchStream::watchCount).sum();
   }
 
   /** Ends a lease and deletes its keys. */
   void revoke(long lease) {
     leases.remove(lease);
     store.begin();
-    for (ByteString key : List.copyOf(store.leased(lease))) {
+    for (ByteString key : List.copyOf(store.keysWithLease(lease))) {
       store.delete(key, ByteString.EMPTY);
     }
-    store.dropLease(lease);
+    store.removeLease(lease);
     commit();
   }
 
--- a/src/main/java/fordridge/emulator/EtcdWatch.java
+++ b/src/main/java/fordridge/emulator/EtcdWatch.java
@@ -28,7 +28,7 @@
     return request.getFragment();
   }
 
-  boolean wantsProgress() {
+  boolean wantsPeriodicProgress() {
     return request.getProgressNotify();
   }
 
@@ -37,21 +37,21 @@
   }
 
   /** Takes the events that it was not sent yet, up to the present revision. */
-  List<Event> takePending(MvccStore store) throws MvccStore.RevisionUnavailableException {
+  List<Event> takePendingEvents(MvccStore store) throws MvccStore.RevisionUnavailableException {
     List<Event> pending = new ArrayList<>();
     if (!isCaughtUp(store.revision())) {
-      for (List<Event> batch : store.since(nextRevision)) {
-        addWanted(batch, pending);
+      for (List<Event> batch : store.eventsSince(nextRevision)) {
+        addMatching(batch, pending);
       }
     }
     nextRevision = Math.max(nextRevision, store.revision() + 1);
     return pending;
   }
 
-  private void addWanted(List<Event> batch, List<Event> wanted) {
+  private void addMatching(List<Event> batch, List<Event> matching) {
     for (Event event : batch) {
       if (covers(event.getKv().getKey()) && !isFiltered(event.getType())) {
-        wanted.add(request.getPrevKv() ? event : event.toBuilder().clearPrevKv().build());
+        matching.add(request.getPrevKv() ? event : event.toBuilder().clearPrevKv().build());
       }
     }
   }
--- a/src/main/java/fordridge/emulator/EtcdWatchStream.java
+++ b/src/main/java/fordridge/emulator/EtcdWatchStream.java
@@ -25,10 +25,10 @@
   private final ServerCallStreamObserver<WatchResponse> responses;
   private final String client = EtcdClientInterceptor.currentClient();
   private final Map<Long, EtcdWatch> watches = new TreeMap<>();
-  private final Deque<WatchResponse> delayed = new ArrayDeque<>();
+  private final Deque<WatchResponse> delayedResponses = new ArrayDeque<>();
   private long lastId;
-  private boolean isOver;
-  private int sentFragments;
+  private boolean isEnded;
+  private int sentEventResponses;
 
   EtcdWatchStream(EtcdState state, ServerCallStreamObserver<WatchResponse> responses) {
     this.state = state;
@@ -36,13 +36,13 @@
     responses.setOnCancelHandler(this::cancelled);
   }
 
-  int watches() {
+  int watchCount() {
     return watches.size();
   }
 
   private void cancelled() {
     synchronized (state) {
-      isOver = true;
+      isEnded = true;
       state.remove(this);
     }
   }
@@ -72,7 +72,7 @@
       return state.store().revision() + 1;
     }
     if (state.faults().repeatsEvents) {
-      return Math.max(state.store().compacted() + 1, startRevision - REPEATED_REVISIONS);
+      return Math.max(state.store().compactedRevision() + 1, startRevision - REPEATED_REVISIONS);
     }
     return startRevision;
   }
@@ -88,9 +88,9 @@
   }
 
   /** Sends progress to the watches that want it now and then. */
-  void sendRequestedProgress() {
+  void sendPeriodicProgress() {
     for (EtcdWatch watch : List.copyOf(watches.values())) {
-      if (watch.wantsProgress()) {
+      if (watch.wantsPeriodicProgress()) {
         sendProgress(watch.id());
       }
     }
@@ -99,25 +99,25 @@
   private void sendProgress(long id) {
     long revision = state.store().revision();
     boolean isCaughtUp = watches.values().stream().allMatch(watch -> watch.isCaughtUp(revision));
-    if (!state.faults().isSilent && isCaughtUp && delayed.isEmpty()) {
+    if (!state.faults().isSilent && isCaughtUp && delayedResponses.isEmpty()) {
       send(response(id).build());
     }
   }
 
   /** Sends each watch the events that it was not sent yet. */
   void sendPending() {
-    if (state.faults().isSilent || isOver) {
+    if (state.faults().isSilent || isEnded) {
       return;
     }
     for (EtcdWatch watch : List.copyOf(watches.values())) {
       try {
-        sendFragments(watch, watch.takePending(state.store()));
+        sendFragments(watch, watch.takePendingEvents(state.store()));
       } catch (MvccStore.RevisionUnavailableException e) {
         watches.remove(watch.id());
         send(
             response(watch.id())
                 .setCanceled(true)
-                .setCompactRevision(state.store().compacted())
+                .setCompactRevision(state.store().compactedRevision())
                 .setCancelReason("etcdserver: mvcc: required revision has been compacted")
                 .build());
       }
@@ -125,7 +125,7 @@
   }
 
   private void sendFragments(EtcdWatch watch, List<Event> events) {
-    int size = watch.allowsFragments() ? state.faults().fragmentEvents : Integer.MAX_VALUE;
+    int size = watch.allowsFragments() ? state.faults().maxEventsPerFragment : Integer.MAX_VALUE;
     for (int start = 0; start < events.size(); start += size) {
       int end = (int) Math.min(events.size(), (long) start + size);
       send(
@@ -133,9 +133,9 @@
               .setFragment(end < events.size())
               .addAllEvents(events.subList(start, end))
               .build());
-      sentFragments++;
+      sentEventResponses++;
       if (isResetDue()) {
-        state.faults().resetAfterFragments = 0;
+        state.faults().fragmentsBeforeReset = 0;
         end(Status.UNAVAILABLE.withDescription("transport is closing"));
         return;
       }
@@ -143,30 +143,30 @@
   }
 
   private boolean isResetDue() {
-    int resetAfter = state.faults().resetAfterFragments;
-    return resetAfter > 0 && sentFragments >= resetAfter;
+    int resetAfter = state.faults().fragmentsBeforeReset;
+    return resetAfter > 0 && sentEventResponses >= resetAfter;
   }
 
   private void send(WatchResponse response) {
-    if (isOver) {
+    if (isEnded) {
       return;
     }
     long delayMillis = state.faults().eventDelayMillis;
     boolean isDelayed = delayMillis > 0 && response.getEventsCount() > 0;
     // What follows a delayed response waits behind it.
-    if (!isDelayed && delayed.isEmpty()) {
+    if (!isDelayed && delayedResponses.isEmpty()) {
       write(response);
       return;
     }
-    delayed.addLast(response);
+    delayedResponses.addLast(response);
     Timers.schedule(
         state.executor(), Duration.ofMillis(Math.max(1, delayMillis)), this::sendFirstDelayed);
   }
 
   private void sendFirstDelayed() {
     synchronized (state) {
-      WatchResponse first = delayed.pollFirst();
-      if (first != null && !isOver) {
+      WatchResponse first = delayedResponses.pollFirst();
+      if (first != null && !isEnded) {
         write(first);
       }
     }
@@ -182,8 +182,8 @@
 
   /** Ends the stream with an error. */
   void end(Status reason) {
-    if (!isOver) {
-      isOver = true;
+    if (!isEnded) {
+      isEnded = true;
       state.remove(this);
       responses.onError(reason.asRuntimeException());
     }
@@ -197,7 +197,7 @@
   @Override
   public void onCompleted() {
     synchronized (state) {
-      if (!isOver) {
+      if (!isEnded) {
         cancelled();
         responses.onCompleted();
       }
--- a/src/main/java/fordridge/emulator/FaultInjector.java
+++ b/src/main/java/fordridge/emulator/FaultInjector.java
@@ -37,13 +37,13 @@
   /** Schedules all faults, counted from now. */
   void schedule() {
     for (int i = 0; i < plan.faults().size(); i++) {
-      FaultPlan fault = plan.faults().get(i);
+      ScenarioFault fault = plan.faults().get(i);
       Random random = new Random(plan.run().seed() * SEED_FACTOR + i);
-      timeline.after(fault.at(), () -> begin(fault, random));
+      timeline.runAfter(fault.at(), () -> begin(fault, random));
     }
   }
 
-  private void begin(FaultPlan fault, Random random) {
+  private void begin(ScenarioFault fault, Random random) {
     timeline.recordBegin(fault);
     switch (fault.kind().target()) {
       case MACHINE -> machineFaults.begin(fault, random);
--- a/src/main/java/fordridge/emulator/FaultTargets.java
+++ b/src/main/java/fordridge/emulator/FaultTargets.java
@@ -18,12 +18,12 @@
    * A share of the machines that the registry knows to be there. If the fault has a scope, those
    * that share it with the first one drawn come first; the loss of a zone hits exactly those.
    */
-  List<EmulatedMachine> machines(FaultPlan fault, Random random) {
+  List<EmulatedMachine> machines(ScenarioFault fault, Random random) {
     List<EmulatedMachine> candidates = new ArrayList<>(peers.machines());
     candidates.removeIf(peers.registry()::isGone);
     Collections.shuffle(candidates, random);
     int count = Math.max(1, (int) Math.round(fault.share() * candidates.size()));
-    if (fault.scope() != FaultPlan.Scope.ANY) {
+    if (fault.scope() != ScenarioFault.Scope.ANY) {
       String firstGroup = group(fault, candidates.get(0));
       candidates.sort(
           (a, b) ->
@@ -40,7 +40,7 @@
     return candidates.subList(0, Math.min(count, candidates.size()));
   }
 
-  private static String group(FaultPlan fault, EmulatedMachine machine) {
+  private static String group(ScenarioFault fault, EmulatedMachine machine) {
     MachineSpec.Labels labels = machine.spec().labels();
     return switch (fault.scope()) {
       case ZONE -> labels.zone();
@@ -50,13 +50,13 @@
   }
 
   /** A share of the clients, each drawn by itself. */
-  List<EmulatedClient> clients(FaultPlan fault, Random random) {
-    List<EmulatedClient> drawn = new ArrayList<>();
+  List<EmulatedClient> clients(ScenarioFault fault, Random random) {
+    List<EmulatedClient> targets = new ArrayList<>();
     for (EmulatedClient client : peers.clients()) {
       if (random.nextDouble() < fault.share()) {
-        drawn.add(client);
+        targets.add(client);
       }
     }
-    return drawn;
+    return targets;
   }
 }
--- a/src/main/java/fordridge/emulator/FaultTimeline.java
+++ b/src/main/java/fordridge/emulator/FaultTimeline.java
@@ -18,11 +18,11 @@
     this.recorder = recorder;
   }
 
-  void after(Duration delay, Runnable step) {
+  void runAfter(Duration delay, Runnable step) {
     Timers.schedule(executor, Duration.ofMillis(delay.toMillis()), () -> run(step));
   }
 
-  void recordBegin(FaultPlan fault) {
+  void recordBegin(ScenarioFault fault) {
     recorder
         .event(SOURCE, RecordKind.FAULT_BEGINS)
         .with(RecordField.FAULT_KIND, fault.kind().text())
--- a/src/main/java/fordridge/emulator/FilePublisher.java
+++ b/src/main/java/fordridge/emulator/FileMachineListWriter.java
@@ -8,25 +8,25 @@
 import java.util.Locale;
 
 /** Publishes the machine list to a file, by renaming a new one over it. */
-final class FilePublisher implements MachineListPublisher {
+final class FileMachineListWriter implements MachineListWriter {
   private final File file;
 
-  FilePublisher(File file) {
+  FileMachineListWriter(File file) {
     this.file = file;
   }
 
   @Override
-  public void publish(
+  public void write(
       Collection<RegisteredMachine> machines, Runnable beforeVisible, Runnable afterVisible)
       throws IOException {
-    StringBuilder text = new StringBuilder("version = 1\nmachines = [\n");
-    machines.forEach(machine -> text.append(entry(machine)));
-    text.append("]\n");
-    File next = new File(file.getPath() + ".next");
-    Files.writeString(next.toPath(), text.toString());
+    StringBuilder content = new StringBuilder("version = 1\nmachines = [\n");
+    machines.forEach(machine -> content.append(entry(machine)));
+    content.append("]\n");
+    File temporaryFile = new File(file.getPath() + ".next");
+    Files.writeString(temporaryFile.toPath(), content.toString());
     beforeVisible.run();
     Files.move(
-        next.toPath(),
+        temporaryFile.toPath(),
         file.toPath(),
         StandardCopyOption.ATOMIC_MOVE,
         StandardCopyOption.REPLACE_EXISTING);
--- a/src/main/java/fordridge/emulator/FleetBuilder.java
+++ b/src/main/java/fordridge/emulator/FleetBuilder.java
@@ -53,7 +53,7 @@
   /** Spreads the kinds evenly over the machines, by their shares. */
   private final class KindSequence {
     private final List<MachineKind> kinds = plan.deployment().kinds();
-    private final double[] due = new double[kinds.size()];
+    private final double[] credits = new double[kinds.size()];
     private final double sumOfShares = kinds.stream().mapToDouble(this::share).sum();
 
     private double share(MachineKind kind) {
@@ -61,13 +61,13 @@
     }
 
     MachineKind next() {
-      int mostDue = 0;
-      for (int i = 0; i < due.length; i++) {
-        due[i] += share(kinds.get(i)) / sumOfShares;
-        mostDue = due[i] > due[mostDue] ? i : mostDue;
+      int highest = 0;
+      for (int i = 0; i < credits.length; i++) {
+        credits[i] += share(kinds.get(i)) / sumOfShares;
+        highest = credits[i] > credits[highest] ? i : highest;
       }
-      due[mostDue] -= 1;
-      return kinds.get(mostDue);
+      credits[highest] -= 1;
+      return kinds.get(highest);
     }
   }
 
--- a/src/main/java/fordridge/emulator/FleetFaults.java
+++ b/src/main/java/fordridge/emulator/FleetFaults.java
@@ -11,12 +11,12 @@
 /** Faults by which machines leave the fleet and come back, warming up. */
 final class FleetFaults {
   /** How long the registry takes at most to see that a machine vanished. */
-  private static final Duration VANISH_DETECTION = Duration.ofSeconds(3);
+  private static final Duration VANISH_DETECTION_TIME = Duration.ofSeconds(3);
 
-  private static final Duration CRASH_DETECTION = Duration.ofSeconds(1);
-  private static final Duration RESTART_DETECTION = Duration.ofMillis(200);
+  private static final Duration CRASH_DETECTION_TIME = Duration.ofSeconds(1);
+  private static final Duration RESTART_DETECTION_TIME = Duration.ofMillis(200);
   private static final Duration PREEMPTION_NOTICE = Duration.ofSeconds(1);
-  private static final Duration DOWN_AFTER_DRAIN = Duration.ofSeconds(2);
+  private static final Duration DOWNTIME_AFTER_DRAIN = Duration.ofSeconds(2);
   private static final Duration MIN_DEPLOY_NOTICE = Duration.ofMillis(500);
 
   private final ScenarioPeers peers;
@@ -32,7 +32,7 @@
     this.recorder = recorder;
   }
 
-  void begin(FaultPlan fault, Random random) {
+  void begin(ScenarioFault fault, Random random) {
     switch (fault.kind()) {
       case VANISH -> vanish(targets.machines(fault, random), fault.length());
       case CRASH, ZONE_LOSS, MASS_RESTART -> crash(targets.machines(fault, random), fault.length());
@@ -44,58 +44,58 @@
     }
   }
 
-  private void vanish(List<EmulatedMachine> machines, Duration away) {
+  private void vanish(List<EmulatedMachine> machines, Duration downtime) {
     for (EmulatedMachine machine : machines) {
       machine.execute(
           () -> {
             recorder.event(machine.name(), RecordKind.VANISH).write();
             machine.setVanished(true);
           });
-      timeline.after(
-          shorter(away, VANISH_DETECTION), () -> peers.registry().set(machine, State.GONE));
-      timeline.after(away, () -> restart(machine));
+      timeline.runAfter(
+          shorter(downtime, VANISH_DETECTION_TIME), () -> peers.registry().setState(machine, State.GONE));
+      timeline.runAfter(downtime, () -> restart(machine));
     }
   }
 
-  private void crash(List<EmulatedMachine> machines, Duration away) {
+  private void crash(List<EmulatedMachine> machines, Duration downtime) {
     for (EmulatedMachine machine : machines) {
       machine.execute(machine::crash);
-      timeline.after(
-          shorter(away, CRASH_DETECTION), () -> peers.registry().set(machine, State.GONE));
-      timeline.after(away, () -> restart(machine));
+      timeline.runAfter(
+          shorter(downtime, CRASH_DETECTION_TIME), () -> peers.registry().setState(machine, State.GONE));
+      timeline.runAfter(downtime, () -> restart(machine));
     }
   }
 
   private void restart(EmulatedMachine machine) {
     machine.execute(machine::restart);
-    timeline.after(
-        RESTART_DETECTION,
-        () -> peers.registry().setRestarted(machine, Instant.now().minus(RESTART_DETECTION)));
+    timeline.runAfter(
+        RESTART_DETECTION_TIME,
+        () -> peers.registry().setRestarted(machine, Instant.now().minus(RESTART_DETECTION_TIME)));
   }
 
   /** The machines drain, go down after the notice, and may come back a while later. */
-  private void drain(List<EmulatedMachine> machines, Duration notice, boolean comesBack) {
+  private void drain(List<EmulatedMachine> machines, Duration notice, boolean restarts) {
     for (EmulatedMachine machine : machines) {
-      peers.registry().set(machine, State.DRAINING);
+      peers.registry().setState(machine, State.DRAINING);
       machine.execute(
           () -> {
             recorder.event(machine.name(), RecordKind.DRAIN).write();
             machine.model().drain(notice);
           });
-      timeline.after(notice, () -> goDown(machine, comesBack));
+      timeline.runAfter(notice, () -> shutDown(machine, restarts));
     }
   }
 
-  private void goDown(EmulatedMachine machine, boolean comesBack) {
+  private void shutDown(EmulatedMachine machine, boolean restarts) {
     machine.execute(machine::crash);
-    peers.registry().set(machine, State.GONE);
-    if (comesBack) {
-      timeline.after(DOWN_AFTER_DRAIN, () -> restart(machine));
+    peers.registry().setState(machine, State.GONE);
+    if (restarts) {
+      timeline.runAfter(DOWNTIME_AFTER_DRAIN, () -> restart(machine));
     }
   }
 
   /** Drains the machines in batches of the fault's size, a share of the fleet. */
-  private void deploy(FaultPlan fault, Random random) {
+  private void deploy(ScenarioFault fault, Random random) {
     List<EmulatedMachine> machines = targets.machines(fault, random);
     int batchSize = Math.max(1, (int) Math.round(fault.size() * peers.machines().size()));
     int batches = (machines.size() + batchSize - 1) / batchSize;
@@ -105,17 +105,17 @@
       int end = Math.min(machines.size(), (i + 1) * batchSize);
       List<EmulatedMachine> batch = machines.subList(i * batchSize, end);
       Duration delay = fault.length().multipliedBy(i).dividedBy(Math.max(1, batches));
-      timeline.after(delay, () -> drain(batch, notice, true));
+      timeline.runAfter(delay, () -> drain(batch, notice, true));
     }
   }
 
   /** Spare machines join the fleet, one after another over the fault's length. */
-  private void grow(FaultPlan fault) {
+  private void grow(ScenarioFault fault) {
     int count = Math.min(peers.spares().size(), fault.sizeAtLeastOne());
     for (int i = 0; i < count; i++) {
       EmulatedMachine machine = peers.spares().get(i);
       peers.machines().add(machine);
-      timeline.after(fault.length().multipliedBy(i).dividedBy(count), () -> restart(machine));
+      timeline.runAfter(fault.length().multipliedBy(i).dividedBy(count), () -> restart(machine));
     }
   }
 
--- a/src/main/java/fordridge/emulator/InProcessSchedulers.java
+++ b/src/main/java/fordridge/emulator/InProcessSchedulers.java
@@ -26,7 +26,7 @@
   }
 
   @Override
-  public String costs(double seconds) {
+  public String resourceUsage(double seconds) {
     Metrics metrics = command.metrics();
     return String.format(
         "in one process with the emulator; %.0f offers, loop lag p99 %.1f ms, input p50 "
--- a/src/main/java/fordridge/emulator/MachineFaults.java
+++ b/src/main/java/fordridge/emulator/MachineFaults.java
@@ -26,16 +26,16 @@
     this.deployment = deployment;
   }
 
-  void begin(FaultPlan fault, Random random) {
+  void begin(ScenarioFault fault, Random random) {
     switch (fault.kind()) {
       case SLOW, FAST_ERRORS, NEIGHBOUR, HOT_KEY, THROTTLE -> beginAtModel(fault, random);
       case HANG, MUTE, ANSWER_LOST -> beginAtSocket(fault, random);
       case CUT_GREETINGS -> cutAt(CutPoint.AFTER_GREETING, fault, random);
       case CUT_OFFERS -> cutAt(CutPoint.AFTER_OFFER_READ, fault, random);
-      case CUT_BEFORE_ANSWER -> cutAt(CutPoint.BEFORE_START_ANSWER, fault, random);
-      case CUT_AFTER_ANSWER -> cutAt(CutPoint.AFTER_START_ANSWER, fault, random);
-      case CUT_MACHINES -> once(fault, random, EmulatedMachine::cutAll);
-      case FLUSH -> once(fault, random, machine -> flush(machine.model()));
+      case CUT_BEFORE_ANSWER -> cutAt(CutPoint.BEFORE_START_RESPONSE, fault, random);
+      case CUT_AFTER_ANSWER -> cutAt(CutPoint.AFTER_START_RESPONSE, fault, random);
+      case CUT_MACHINES -> applyOnce(fault, random, EmulatedMachine::cutAll);
+      case FLUSH -> applyOnce(fault, random, machine -> flush(machine.model()));
       case PAUSES -> pauses(fault, random);
       default -> throw new IllegalArgumentException("not a fault of machines: " + fault.kind());
     }
@@ -45,35 +45,35 @@
     model.flushPrograms();
   }
 
-  private void beginAtModel(FaultPlan fault, Random random) {
+  private void beginAtModel(ScenarioFault fault, Random random) {
     double size = fault.size();
     switch (fault.kind()) {
       case SLOW ->
-          during(
+          applyForLength(
               fault,
               random,
               machine -> machine.modelFaults().setSlowdown(Math.max(1, size)),
               machine -> machine.modelFaults().setSlowdown(1));
       case FAST_ERRORS ->
-          during(
+          applyForLength(
               fault,
               random,
               machine -> machine.modelFaults().setFailureProbability(size),
               machine -> machine.modelFaults().setFailureProbability(0));
       case NEIGHBOUR ->
-          during(
+          applyForLength(
               fault,
               random,
               machine -> machine.modelFaults().setNeighbourCoresShare(size),
               machine -> machine.modelFaults().setNeighbourCoresShare(0));
       case HOT_KEY ->
-          during(
+          applyForLength(
               fault,
               random,
               machine -> machine.modelFaults().setUsageFactor(1 + size),
               machine -> machine.modelFaults().setUsageFactor(1));
       case THROTTLE ->
-          during(
+          applyForLength(
               fault,
               random,
               machine -> machine.modelFaults().setThrottle(throttle(fault)),
@@ -82,16 +82,16 @@
     }
   }
 
-  private void beginAtSocket(FaultPlan fault, Random random) {
+  private void beginAtSocket(ScenarioFault fault, Random random) {
     switch (fault.kind()) {
       case HANG ->
-          during(
+          applyForLength(
               fault,
               random,
               machine -> machine.socketFaults().setHung(true),
               machine -> machine.socketFaults().setHung(false));
       case MUTE ->
-          during(
+          applyForLength(
               fault,
               random,
               machine -> {
@@ -100,43 +100,43 @@
               },
               machine -> machine.socketFaults().setMute(false));
       case ANSWER_LOST ->
-          during(
+          applyForLength(
               fault,
               random,
               machine ->
-                  machine.socketFaults().loseAnswers(fault.size(), fault.subject().equals(RESET)),
-              machine -> machine.socketFaults().loseAnswers(0, false));
+                  machine.socketFaults().setResponseLoss(fault.size(), fault.subject().equals(RESET)),
+              machine -> machine.socketFaults().setResponseLoss(0, false));
       default -> throw new IllegalArgumentException("not a fault of sockets: " + fault.kind());
     }
   }
 
-  private void cutAt(CutPoint point, FaultPlan fault, Random random) {
-    during(
+  private void cutAt(CutPoint point, ScenarioFault fault, Random random) {
+    applyForLength(
         fault,
         random,
         machine -> machine.socketFaults().cutAt(point, fault.subject(), fault.sizeAtLeastOne()),
         machine -> machine.socketFaults().clearCuts());
   }
 
-  private void once(FaultPlan fault, Random random, Consumer<EmulatedMachine> action) {
+  private void applyOnce(ScenarioFault fault, Random random, Consumer<EmulatedMachine> action) {
     targets
         .machines(fault, random)
         .forEach(machine -> machine.execute(() -> action.accept(machine)));
   }
 
-  private void during(
-      FaultPlan fault,
+  private void applyForLength(
+      ScenarioFault fault,
       Random random,
-      Consumer<EmulatedMachine> begin,
-      Consumer<EmulatedMachine> end) {
-    List<EmulatedMachine> hit = targets.machines(fault, random);
-    hit.forEach(machine -> machine.execute(() -> begin.accept(machine)));
-    timeline.after(
-        fault.length(), () -> hit.forEach(machine -> machine.execute(() -> end.accept(machine))));
+      Consumer<EmulatedMachine> apply,
+      Consumer<EmulatedMachine> revert) {
+    List<EmulatedMachine> machines = targets.machines(fault, random);
+    machines.forEach(machine -> machine.execute(() -> apply.accept(machine)));
+    timeline.runAfter(
+        fault.length(), () -> machines.forEach(machine -> machine.execute(() -> revert.accept(machine))));
   }
 
   /** Throttles the named tenant or priority class; the first tenant if none is named. */
-  private ActiveFaults.Throttle throttle(FaultPlan fault) {
+  private ActiveFaults.Throttle throttle(ScenarioFault fault) {
     String subject = fault.subject();
     boolean isTenant =
         deployment.tenants().stream().anyMatch(tenant -> tenant.name().equals(subject));
@@ -153,17 +153,17 @@
   }
 
   /** The machines stand still for the fault's size in ms, every {@code extra} ms. */
-  private void pauses(FaultPlan fault, Random random) {
+  private void pauses(ScenarioFault fault, Random random) {
     long endNanos = System.nanoTime() + fault.length().toNanos();
     targets.machines(fault, random).forEach(machine -> pause(machine, fault, endNanos));
   }
 
-  private void pause(EmulatedMachine machine, FaultPlan fault, long endNanos) {
+  private void pause(EmulatedMachine machine, ScenarioFault fault, long endNanos) {
     machine.execute(() -> machine.modelFaults().setPaused(true));
-    timeline.after(
+    timeline.runAfter(
         fault.sizeMillis(), () -> machine.execute(() -> machine.modelFaults().setPaused(false)));
     double periodMillis = Math.max(fault.size() + MIN_PAUSE_GAP_MILLIS, fault.extra());
-    timeline.after(
+    timeline.runAfter(
         Duration.ofMillis((long) periodMillis),
         () -> {
           if (System.nanoTime() < endNanos) {
--- a/src/main/java/fordridge/emulator/MachineMessages.java
+++ b/src/main/java/fordridge/emulator/MachineMessages.java
@@ -48,7 +48,7 @@
     return Duration.ofNanos(TimeUnit.MICROSECONDS.toNanos(micros));
   }
 
-  private static ClaimName name(HostedVm vm) {
+  private static ClaimName claimName(HostedVm vm) {
     AttemptId attempt = vm.offer().attempt();
     return ClaimName.newBuilder().setVm(attempt.vm()).setNumber(attempt.number()).build();
   }
@@ -62,7 +62,7 @@
   private static Held held(HostedVm vm) {
     VmOffer offer = vm.offer();
     return Held.newBuilder()
-        .setClaim(name(vm))
+        .setClaim(claimName(vm))
         .setState(
             switch (vm.state()) {
               case RUNNING -> Held.State.RUNNING;
@@ -80,14 +80,14 @@
   }
 
   static FromMachine accepted(HostedVm vm) {
-    return FromMachine.newBuilder().setAccepted(Accepted.newBuilder().setClaim(name(vm))).build();
+    return FromMachine.newBuilder().setAccepted(Accepted.newBuilder().setClaim(claimName(vm))).build();
   }
 
   static FromMachine refused(HostedVm vm, RefusalReason reason, MachineModel model) {
     return FromMachine.newBuilder()
         .setRefused(
             Refused.newBuilder()
-                .setClaim(name(vm))
+                .setClaim(claimName(vm))
                 .setReason(
                     switch (reason) {
                       case NO_CORES -> Refused.Reason.NO_CORES;
@@ -102,7 +102,7 @@
 
   static FromMachine started(HostedVm vm, MachineModel model) {
     return FromMachine.newBuilder()
-        .setStarted(Started.newBuilder().setClaim(name(vm)).setReport(report(0, model)))
+        .setStarted(Started.newBuilder().setClaim(claimName(vm)).setReport(report(0, model)))
         .build();
   }
 
@@ -110,7 +110,7 @@
     return FromMachine.newBuilder()
         .setFinished(
             Finished.newBuilder()
-                .setClaim(name(vm))
+                .setClaim(claimName(vm))
                 .setRan(hasRun)
                 .setHow(
                     switch (end) {
@@ -126,7 +126,7 @@
 
   static FromMachine note(HostedVm vm, Note.What subject, double amount) {
     return FromMachine.newBuilder()
-        .setNote(Note.newBuilder().setClaim(name(vm)).setWhat(subject).setAmount(amount))
+        .setNote(Note.newBuilder().setClaim(claimName(vm)).setWhat(subject).setAmount(amount))
         .build();
   }
 
--- a/src/main/java/fordridge/emulator/MachineServer.java
+++ b/src/main/java/fordridge/emulator/MachineServer.java
@@ -20,7 +20,7 @@
  * over restarts. To be used on the machine's event loop, {@link #start} aside.
  */
 final class MachineServer {
-  private static final int MIN_KEEP_ALIVE_MILLIS = 50;
+  private static final int MIN_KEEPALIVE_INTERVAL_MILLIS = 50;
   private static final int SHUTDOWN_WAIT_SECONDS = 2;
   private static final int MAX_BIND_ATTEMPTS = 50;
   private static final int BIND_RETRY_MILLIS = 20;
@@ -46,7 +46,7 @@
             .workerEventLoopGroup(loop)
             .channelFactory(ListeningChannel::new)
             .directExecutor()
-            .permitKeepAliveTime(MIN_KEEP_ALIVE_MILLIS, TimeUnit.MILLISECONDS)
+            .permitKeepAliveTime(MIN_KEEPALIVE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS)
             .permitKeepAliveWithoutCalls(true)
             .addService(service)
             .build()
@@ -79,7 +79,7 @@
   }
 
   /** Whether it was killed since this was last asked: it is to be started again then. */
-  boolean takeKilled() {
+  boolean getAndClearKilled() {
     boolean wasKilled = isKilled;
     isKilled = false;
     return wasKilled;
@@ -105,7 +105,7 @@
    *
    * @throws IOException if the port stays in use
    */
-  void startAgain() throws IOException, InterruptedException {
+  void restart() throws IOException, InterruptedException {
     server.awaitTermination(SHUTDOWN_WAIT_SECONDS, TimeUnit.SECONDS);
     for (int attempt = 1; ; attempt++) {
       try {
--- a/src/main/java/fordridge/emulator/MvccStore.java
+++ b/src/main/java/fordridge/emulator/MvccStore.java
@@ -45,7 +45,7 @@
   private final NavigableMap<Long, List<Event>> history = new TreeMap<>();
   private final Map<Long, Set<ByteString>> keysByLease = new HashMap<>();
   private long revision = 1;
-  private long compacted;
+  private long compactedRevision;
   private List<Event> pendingEvents = new ArrayList<>();
 
   long revision() {
@@ -53,8 +53,8 @@
   }
 
   /** The revision up to which the history is compacted. */
-  long compacted() {
-    return compacted;
+  long compactedRevision() {
+    return compactedRevision;
   }
 
   // Reading.
@@ -67,8 +67,8 @@
    */
   List<KeyValue> range(ByteString key, ByteString end, long atRevision)
       throws RevisionUnavailableException {
-    if (atRevision > revision || (atRevision > 0 && atRevision < compacted)) {
-      throw new RevisionUnavailableException(atRevision, atRevision < compacted);
+    if (atRevision > revision || (atRevision > 0 && atRevision < compactedRevision)) {
+      throw new RevisionUnavailableException(atRevision, atRevision < compactedRevision);
     }
     long readRevision = atRevision == 0 ? revision : atRevision;
     List<KeyValue> found = new ArrayList<>();
@@ -106,15 +106,15 @@
   }
 
   /** The events from a revision on, a list for each revision. */
-  List<List<Event>> since(long firstRevision) throws RevisionUnavailableException {
-    if (firstRevision <= compacted) {
+  List<List<Event>> eventsSince(long firstRevision) throws RevisionUnavailableException {
+    if (firstRevision <= compactedRevision) {
       throw new RevisionUnavailableException(firstRevision, true);
     }
     return new ArrayList<>(history.tailMap(firstRevision, true).values());
   }
 
   /** Whether a transaction's comparison holds. */
-  boolean holds(Compare comparison) {
+  boolean isSatisfied(Compare comparison) {
     int order = compare(comparison, latest(comparison.getKey()));
     return switch (comparison.getResult()) {
       case EQUAL -> order == 0;
@@ -177,13 +177,13 @@
   /** Deletes a range; the entries that were there. */
   List<KeyValue> delete(ByteString key, ByteString end) {
     List<KeyValue> deleted = new ArrayList<>();
-    for (ByteString each : new ArrayList<>(versionsIn(key, end).keySet())) {
-      latest(each)
+    for (ByteString deletedKey : new ArrayList<>(versionsIn(key, end).keySet())) {
+      latest(deletedKey)
           .ifPresent(
               old -> {
                 deleted.add(old);
                 KeyValue entry =
-                    KeyValue.newBuilder().setKey(each).setModRevision(revision + 1).build();
+                    KeyValue.newBuilder().setKey(deletedKey).setModRevision(revision + 1).build();
                 write(Event.EventType.DELETE, entry, old);
               });
     }
@@ -195,40 +195,40 @@
     Event.Builder event = Event.newBuilder().setType(type).setKv(entry);
     if (old != null) {
       event.setPrevKv(old);
-      Set<ByteString> leasedWithOld = keysByLease.get(old.getLease());
-      if (leasedWithOld != null) {
-        leasedWithOld.remove(entry.getKey());
+      Set<ByteString> keysWithOldLease = keysByLease.get(old.getLease());
+      if (keysWithOldLease != null) {
+        keysWithOldLease.remove(entry.getKey());
       }
     }
     pendingEvents.add(event.build());
   }
 
   /** The keys that go with a lease. */
-  Set<ByteString> leased(long lease) {
+  Set<ByteString> keysWithLease(long lease) {
     return keysByLease.getOrDefault(lease, Set.of());
   }
 
-  void dropLease(long lease) {
+  void removeLease(long lease) {
     keysByLease.remove(lease);
   }
 
   /** Forgets what was replaced or deleted up to a revision. */
   void compact(long atRevision) throws RevisionUnavailableException {
-    if (atRevision <= compacted || atRevision > revision) {
-      throw new RevisionUnavailableException(atRevision, atRevision <= compacted);
+    if (atRevision <= compactedRevision || atRevision > revision) {
+      throw new RevisionUnavailableException(atRevision, atRevision <= compactedRevision);
     }
-    compacted = atRevision;
+    compactedRevision = atRevision;
     history.headMap(atRevision, true).clear();
     versionsByKey
         .values()
         .removeIf(
             versions -> {
-              dropReplaced(versions, atRevision);
+              removeReplacedVersions(versions, atRevision);
               return versions.isEmpty();
             });
   }
 
-  private static void dropReplaced(NavigableMap<Long, KeyValue> versions, long atRevision) {
+  private static void removeReplacedVersions(NavigableMap<Long, KeyValue> versions, long atRevision) {
     Long last = versions.floorKey(atRevision);
     if (last == null) {
       return;
@@ -251,7 +251,7 @@
     versionsByKey.clear();
     history.clear();
     revision = atRevision;
-    compacted = atRevision;
+    compactedRevision = atRevision;
     for (KeyValue entry : present) {
       KeyValue restored =
           entry.toBuilder().setModRevision(atRevision).setCreateRevision(atRevision).build();
--- a/src/main/java/fordridge/emulator/RequestedVm.java
+++ b/src/main/java/fordridge/emulator/RequestedVm.java
@@ -13,8 +13,8 @@
   final ServiceProfile service;
   private final long firstRequestedAtUs;
   private long remainingLifeUs;
-  private int requests;
-  private String vm = "";
+  private int requestCount;
+  private String requestName = "";
   private long deadlineUs;
   private boolean hasRun;
   private long runningSinceUs;
@@ -27,9 +27,9 @@
   }
 
   /** It is requested once more, under a new name. */
-  void requested(long nowUs) {
-    requests++;
-    vm = workload + "." + requests;
+  void markRequested(long nowUs) {
+    requestCount++;
+    requestName = workload + "." + requestCount;
     deadlineUs = nowUs + TimeUnit.NANOSECONDS.toMicros(startDeadlineNanos());
   }
 
@@ -38,12 +38,12 @@
   }
 
   /** Its name in the present request. */
-  String vm() {
-    return vm;
+  String requestName() {
+    return requestName;
   }
 
-  int requests() {
-    return requests;
+  int requestCount() {
+    return requestCount;
   }
 
   long timeLeftUs(long nowUs) {
@@ -55,7 +55,7 @@
   }
 
   /** It runs; true for the first time. */
-  boolean running(long nowUs) {
+  boolean markRunning(long nowUs) {
     runningSinceUs = nowUs;
     boolean isFirst = !hasRun;
     hasRun = true;
@@ -66,7 +66,7 @@
     return nowUs - firstRequestedAtUs;
   }
 
-  void ended(long nowUs) {
+  void markEnded(long nowUs) {
     remainingLifeUs -= nowUs - runningSinceUs;
   }
 
--- a/src/main/java/fordridge/emulator/Scenario.java
+++ b/src/main/java/fordridge/emulator/Scenario.java
@@ -30,15 +30,15 @@
   /** The source of the emulator's own events in a recording. */
   static final String SOURCE = "rig";
 
-  private static final int ETCD_PROGRESS_MILLIS = 200;
+  private static final int ETCD_PROGRESS_INTERVAL_MILLIS = 200;
   private static final Duration PROGRESS_INTERVAL = Duration.ofSeconds(5);
   private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
   /** After the last request the schedulers run on for this long at least. */
-  private static final Duration MIN_SETTLE = Duration.ofSeconds(4);
+  private static final Duration MIN_SETTLE_TIME = Duration.ofSeconds(4);
 
   /** What was written before the schedulers stopped arrives within this time. */
-  private static final Duration LAST_ARRIVALS = Duration.ofMillis(100);
+  private static final Duration LAST_ARRIVALS_WAIT = Duration.ofMillis(100);
 
   /**
    * The result of a scenario.
@@ -85,10 +85,10 @@
   private Outcome run() throws IOException, InterruptedException, InvalidSettingsException {
     Files.createDirectories(folder.toPath());
     File recording = new File(folder, "tap.jsonl");
-    String costs;
+    String resourceUsage;
     try (ScenarioResources resources = new ScenarioResources();
         WireRecorder recorder = new WireRecorder(recording)) {
-      costs = runRecorded(resources, recorder);
+      resourceUsage = runRecorded(resources, recorder);
     }
     return new Outcome(
         outcomes.table(),
@@ -97,7 +97,7 @@
         outcomes.latencyMillis(50),
         outcomes.latencyMillis(99),
         outcomes.requested(),
-        costs);
+        resourceUsage);
   }
 
   private String runRecorded(ScenarioResources resources, WireRecorder recorder)
@@ -107,19 +107,19 @@
     List<EmulatedMachine> fleet = new FleetBuilder(plan, recorder).build(resources.machineLoops());
     if (!plan.registry().isInEtcd()) {
       File listFile = new File(folder, "machines.conf");
-      return runAgainst(
-          resources, recorder, fleet, config, Optional.empty(), new FilePublisher(listFile));
+      return runWithRegistry(
+          resources, recorder, fleet, config, Optional.empty(), new FileMachineListWriter(listFile));
     }
-    try (EmulatedEtcd etcd = new EmulatedEtcd(0, ETCD_PROGRESS_MILLIS)) {
+    try (EmulatedEtcd etcd = new EmulatedEtcd(0, ETCD_PROGRESS_INTERVAL_MILLIS)) {
       String prefix = plan.deployment().etcd().prefix();
       etcd.setSendListener(new StoreChangeRecorder(recorder, prefix));
-      return runAgainst(
+      return runWithRegistry(
           resources,
           recorder,
           fleet,
           withEtcd(config, etcd),
           Optional.of(etcd),
-          new EtcdPublisher(etcd, prefix));
+          new EtcdMachineListWriter(etcd, prefix));
     }
   }
 
@@ -130,20 +130,20 @@
         .withValue("etcd.endpoints", ConfigValueFactory.fromIterable(endpoints));
   }
 
-  private String runAgainst(
+  private String runWithRegistry(
       ScenarioResources resources,
       WireRecorder recorder,
       List<EmulatedMachine> fleet,
       Config config,
       Optional<EmulatedEtcd> etcd,
-      MachineListPublisher publisher)
+      MachineListWriter publisher)
       throws IOException, InterruptedException, InvalidSettingsException {
     int machineCount = plan.fleet().machines();
     List<EmulatedMachine> machines = new ArrayList<>(fleet.subList(0, machineCount));
     List<EmulatedMachine> spares = fleet.subList(machineCount, fleet.size());
     try (EmulatedRegistry registry =
         new EmulatedRegistry(publisher, recorder, plan.registry().delay())) {
-      machines.forEach(machine -> registry.set(machine, RegisteredMachine.State.LIVE));
+      machines.forEach(machine -> registry.setState(machine, RegisteredMachine.State.LIVE));
       registry.start(plan.registry().interval());
       try (SchedulerFleet schedulers = startSchedulers(config)) {
         List<EmulatedClient> clients =
@@ -152,14 +152,14 @@
         clients.forEach(client -> client.execute(client::open));
         ScenarioPeers peers = new ScenarioPeers(machines, spares, clients, registry, etcd);
         scheduleWork(resources, recorder, peers);
-        String costs = applyLoad(recorder, schedulers, clients);
+        String resourceUsage = applyLoad(recorder, schedulers, clients);
         boolean isAnswered = schedulers.stop();
         recorder
             .event(SOURCE, RecordKind.SCENARIO_ENDS)
             .with(RecordField.IS_ANSWERED, isAnswered)
             .write();
-        Thread.sleep(LAST_ARRIVALS.toMillis());
-        return costs;
+        Thread.sleep(LAST_ARRIVALS_WAIT.toMillis());
+        return resourceUsage;
       }
     } finally {
       fleet.forEach(machine -> machine.execute(machine::close));
@@ -206,7 +206,7 @@
 
   private SchedulerFleet startSchedulers(Config config)
       throws IOException, InterruptedException, InvalidSettingsException {
-    if (plan.run().isOwnProcess()) {
+    if (plan.run().usesSeparateProcess()) {
       writeSettings(config.withValue("metrics.port", ConfigValueFactory.fromAnyRef(0)));
       return new SchedulerProcess(folder);
     }
@@ -243,29 +243,29 @@
     long endUs = recorder.nowUs() + micros(plan.run().length());
     clients.forEach(client -> client.execute(() -> client.requestUntil(endUs)));
     awaitEnd(startNanos, clients);
-    String costs = schedulers.costs((System.nanoTime() - startNanos) / 1e9);
+    String resourceUsage = schedulers.resourceUsage((System.nanoTime() - startNanos) / 1e9);
     clients.forEach(client -> client.execute(client::close));
-    return costs;
+    return resourceUsage;
   }
 
   private void awaitEnd(long startNanos, List<EmulatedClient> clients) throws InterruptedException {
-    long length = plan.run().length().toSeconds();
-    long total = plan.run().length().plus(plan.run().settle()).toSeconds();
-    long interval = PROGRESS_INTERVAL.toSeconds();
-    long lastElapsed = -1;
+    long lengthSeconds = plan.run().length().toSeconds();
+    long totalSeconds = plan.run().length().plus(plan.run().maxSettleTime()).toSeconds();
+    long intervalSeconds = PROGRESS_INTERVAL.toSeconds();
+    long lastElapsedSeconds = -1;
     while (true) {
-      long elapsed = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - startNanos);
+      long elapsedSeconds = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - startNanos);
       int pending = clients.stream().mapToInt(EmulatedClient::pendingCount).sum();
-      boolean isSettled = pending == 0 && elapsed >= length + MIN_SETTLE.toSeconds();
-      if (elapsed >= total || isSettled) {
+      boolean isSettled = pending == 0 && elapsedSeconds >= lengthSeconds + MIN_SETTLE_TIME.toSeconds();
+      if (elapsedSeconds >= totalSeconds || isSettled) {
         return;
       }
-      if (elapsed / interval != lastElapsed / interval && elapsed > 0) {
+      if (elapsedSeconds / intervalSeconds != lastElapsedSeconds / intervalSeconds && elapsedSeconds > 0) {
         out.printf(
             "%3d of %d s: %d VMs requested, %d pending, %.1f%% in time%n",
-            elapsed, total, outcomes.requested(), pending, 100 * outcomes.inTimeShare());
+            elapsedSeconds, totalSeconds, outcomes.requested(), pending, 100 * outcomes.inTimeShare());
       }
-      lastElapsed = elapsed;
+      lastElapsedSeconds = elapsedSeconds;
       Thread.sleep(POLL_INTERVAL.toMillis());
     }
   }
--- a/src/main/java/fordridge/emulator/FaultPlan.java
+++ b/src/main/java/fordridge/emulator/ScenarioFault.java
@@ -11,7 +11,7 @@
  * @param share the share of the machines or clients that it hits
  * @param scope what the machines that it hits have in common
  */
-record FaultPlan(
+record ScenarioFault(
     FaultKind kind,
     Duration at,
     Duration length,
--- a/src/main/java/fordridge/emulator/ScenarioPlan.java
+++ b/src/main/java/fordridge/emulator/ScenarioPlan.java
@@ -34,21 +34,21 @@
     Clients clients,
     Registry registry,
     Constraints constraints,
-    List<FaultPlan> faults) {
+    List<ScenarioFault> faults) {
 
   private static final Duration MAX_DURATION = Duration.ofHours(2);
   private static final double DEFAULT_CORES_USE = 0.5;
   private static final double DEFAULT_MEMORY_USE = 0.7;
-  private static final double DEFAULT_SIGMA = 0.5;
+  private static final double DEFAULT_USE_SIGMA = 0.5;
 
   /**
    * The run as a whole.
    *
    * @param length while VMs are requested
-   * @param settle the longest wait for the last responses after that
-   * @param isOwnProcess whether the schedulers run in a process of their own
+   * @param maxSettleTime the longest wait for the last responses after that
+   * @param usesSeparateProcess whether the schedulers run in a process of their own
    */
-  record Run(String name, long seed, Duration length, Duration settle, boolean isOwnProcess) {}
+  record Run(String name, long seed, Duration length, Duration maxSettleTime, boolean usesSeparateProcess) {}
 
   /**
    * The machines.
@@ -75,12 +75,12 @@
       DrainPolicy drainPolicy) {}
 
   /** How offers are examined. */
-  record AdmissionTemplate(Range timeMillis, int queueLimit, boolean preempts) {}
+  record AdmissionTemplate(UniformRange timeMillis, int queueLimit, boolean preempts) {}
 
   /** How VMs start. */
   record StartUpTemplate(
-      Range workMillis,
-      Range speed,
+      UniformRange workMillis,
+      UniformRange speed,
       int parallelStarts,
       int cachedPrograms,
       double uncachedFactor) {}
@@ -89,16 +89,16 @@
    * The clients and what they request.
    *
    * @param ratePerSecond requests for VMs of all clients
-   * @param batch mean number of VMs that are requested together
+   * @param meanBatchSize mean number of VMs that are requested together
    * @param maxAttempts how often a client requests a VM at most
    * @param priorityClassShares the share of services in each priority class
    */
   record Clients(
       double ratePerSecond,
       int services,
-      double batch,
-      Range lifeSeconds,
-      Range retryMillis,
+      double meanBatchSize,
+      UniformRange lifeSeconds,
+      UniformRange retryMillis,
       int maxAttempts,
       Map<String, Double> priorityClassShares,
       List<Shape> shapes) {}
@@ -218,7 +218,7 @@
           new UsageProfile(
               readOptional(reader, key + ".cores_use", 10, DEFAULT_CORES_USE),
               readOptional(reader, key + ".memory_use", 10, DEFAULT_MEMORY_USE),
-              readOptional(reader, key + ".sigma", 5, DEFAULT_SIGMA),
+              readOptional(reader, key + ".sigma", 5, DEFAULT_USE_SIGMA),
               priorityClass.fullSpeedUtilization(),
               priorityClass.degradationSpan()));
     }
@@ -269,11 +269,11 @@
         reader.duration("sets.every", Duration.ofMillis(10), MAX_DURATION));
   }
 
-  private static List<FaultPlan> readFaults(ConfigReader reader) {
-    List<FaultPlan> faults = new ArrayList<>();
+  private static List<ScenarioFault> readFaults(ConfigReader reader) {
+    List<ScenarioFault> faults = new ArrayList<>();
     for (ConfigReader fault : reader.objectsWithDefaults("faults", "fault_defaults")) {
       faults.add(
-          new FaultPlan(
+          new ScenarioFault(
               FaultKind.of(fault.oneOf("kind", FaultKind.texts())),
               fault.duration("at", Duration.ZERO, MAX_DURATION),
               fault.duration("for", Duration.ZERO, MAX_DURATION),
@@ -281,7 +281,7 @@
               fault.decimal("size", 0, 1e6),
               fault.decimal("extra", 0, 1e6),
               fault.string("of", 100),
-              FaultPlan.Scope.of(fault.oneOf("by", "any", "zone", "cell", "kind"))));
+              ScenarioFault.Scope.of(fault.oneOf("by", "any", "zone", "cell", "kind"))));
       fault.rejectUnknownKeys();
     }
     for (String key : List.of("kind", "at", "for", "part", "size", "extra", "of", "by")) {
@@ -291,12 +291,12 @@
   }
 
   private static double readOptional(
-      ConfigReader reader, String key, double most, double defaultValue) {
-    return reader.has(key) ? reader.decimal(key, 0, most) : defaultValue;
+      ConfigReader reader, String key, double max, double defaultValue) {
+    return reader.has(key) ? reader.decimal(key, 0, max) : defaultValue;
   }
 
-  private static Range readRange(ConfigReader reader, String key, double least, double most) {
-    return new Range(
-        reader.decimal(key + ".least", least, most), reader.decimal(key + ".most", least, most));
+  private static UniformRange readRange(ConfigReader reader, String key, double min, double max) {
+    return new UniformRange(
+        reader.decimal(key + ".least", min, max), reader.decimal(key + ".most", min, max));
   }
 }
--- a/src/main/java/fordridge/emulator/SchedulerFleet.java
+++ b/src/main/java/fordridge/emulator/SchedulerFleet.java
@@ -9,7 +9,7 @@
   void beginMeasurement();
 
   /** What the schedulers cost over so many seconds since the measurement began; some lines. */
-  String costs(double seconds);
+  String resourceUsage(double seconds);
 
   /** Stops the schedulers; true if all of them answered what was pending. */
   boolean stop() throws InterruptedException;
--- a/src/main/java/fordridge/emulator/SchedulerProcess.java
+++ b/src/main/java/fordridge/emulator/SchedulerProcess.java
@@ -15,9 +15,9 @@
 /** Schedulers as users run them: in a process started from the same classes. */
 final class SchedulerProcess implements SchedulerFleet {
   private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
-  private static final Duration START_POLL = Duration.ofMillis(50);
+  private static final Duration START_POLL_INTERVAL = Duration.ofMillis(50);
   private static final Duration STOP_TIMEOUT = Duration.ofSeconds(30);
-  private static final String RESIDENT_MEMORY = "VmRSS:";
+  private static final String RESIDENT_MEMORY_LABEL = "VmRSS:";
   private static final Pattern REPORTED_METRICS =
       Pattern.compile(
           "fordridge_(bind|loop_lag|decide)_seconds\\{quantile.*"
@@ -69,14 +69,14 @@
   }
 
   private void awaitStart(File portsFile) throws IOException, InterruptedException {
-    long deadline = System.nanoTime() + START_TIMEOUT.toNanos();
+    long deadlineNanos = System.nanoTime() + START_TIMEOUT.toNanos();
     while (!portsFile.exists()) {
-      if (!process.isAlive() || System.nanoTime() > deadline) {
+      if (!process.isAlive() || System.nanoTime() > deadlineNanos) {
         throw new IOException(
             "the schedulers did not start: "
                 + Files.readString(new File(folder, "placer.log").toPath()));
       }
-      Thread.sleep(START_POLL.toMillis());
+      Thread.sleep(START_POLL_INTERVAL.toMillis());
     }
   }
 
@@ -107,7 +107,7 @@
   }
 
   @Override
-  public String costs(double seconds) {
+  public String resourceUsage(double seconds) {
     double cpuSeconds = cpuSeconds() - cpuSecondsBefore;
     return String.format(
         "schedulers' process: %.1f s of CPU in %.1f s (%.2f ms a second for each), %s;%n%s",
@@ -122,8 +122,8 @@
     File status = new File("/proc/" + process.pid() + "/status");
     try {
       return Files.readAllLines(status.toPath()).stream()
-          .filter(line -> line.startsWith(RESIDENT_MEMORY))
-          .map(line -> line.substring(RESIDENT_MEMORY.length()).trim() + " resident")
+          .filter(line -> line.startsWith(RESIDENT_MEMORY_LABEL))
+          .map(line -> line.substring(RESIDENT_MEMORY_LABEL.length()).trim() + " resident")
           .findFirst()
           .orElse("resident memory unknown");
     } catch (IOException e) {
--- a/src/main/java/fordridge/emulator/SchedulerStreams.java
+++ b/src/main/java/fordridge/emulator/SchedulerStreams.java
@@ -53,7 +53,7 @@
   }
 
   /** Forgets the streams; their connections break. */
-  void clear() {
+  void forgetAll() {
     byScheduler.clear();
   }
 }
--- a/src/main/java/fordridge/emulator/SocketFaults.java
+++ b/src/main/java/fordridge/emulator/SocketFaults.java
@@ -16,7 +16,7 @@
   private boolean resetsOnLoss;
   private CutPoint cutPoint = CutPoint.NONE;
   private String cutPriorityClass = "";
-  private int cutsLeft;
+  private int remainingCuts;
 
   SocketFaults(long seed) {
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed ^ SEED_MASK);
@@ -51,9 +51,9 @@
   }
 
   /** Answers are lost with this probability; with {@code reset} the stream breaks as well. */
-  void loseAnswers(double probability, boolean reset) {
+  void setResponseLoss(double probability, boolean resetStream) {
     lossProbability = probability;
-    resetsOnLoss = reset;
+    resetsOnLoss = resetStream;
   }
 
   /** Draws whether the next answer is lost. */
@@ -69,7 +69,7 @@
   void cutAt(CutPoint point, String priorityClass, int times) {
     cutPoint = point;
     cutPriorityClass = priorityClass;
-    cutsLeft = times;
+    remainingCuts = times;
   }
 
   void clearCuts() {
@@ -77,17 +77,17 @@
   }
 
   /** Whether the stream breaks at a point that no priority class belongs to; counts it. */
-  boolean takeCut(CutPoint point) {
-    return takeCut(point, cutPriorityClass);
+  boolean consumeCut(CutPoint point) {
+    return consumeCut(point, cutPriorityClass);
   }
 
   /** Whether the stream breaks at a point for this priority class; counts it. */
-  boolean takeCut(CutPoint point, String priorityClass) {
-    boolean isMeant = cutPriorityClass.isEmpty() || cutPriorityClass.equals(priorityClass);
-    if (cutPoint != point || cutsLeft <= 0 || !isMeant) {
+  boolean consumeCut(CutPoint point, String priorityClass) {
+    boolean isMatch = cutPriorityClass.isEmpty() || cutPriorityClass.equals(priorityClass);
+    if (cutPoint != point || remainingCuts <= 0 || !isMatch) {
       return false;
     }
-    cutsLeft--;
+    remainingCuts--;
     return true;
   }
 }
--- a/src/main/java/fordridge/emulator/StoreFaults.java
+++ b/src/main/java/fordridge/emulator/StoreFaults.java
@@ -2,7 +2,7 @@
 
 /** Faults of the emulated etcd. */
 final class StoreFaults {
-  private static final long RESTORED_REVISIONS_BACK = 50;
+  private static final long REVISIONS_LOST_BY_RESTORE = 50;
   private static final long MIN_RESTORED_REVISION = 2;
 
   private final ScenarioPeers peers;
@@ -13,7 +13,7 @@
     this.timeline = timeline;
   }
 
-  void begin(FaultPlan fault) {
+  void begin(ScenarioFault fault) {
     EmulatedEtcd etcd =
         peers
             .etcd()
@@ -23,27 +23,27 @@
                         "fault " + fault.kind().text() + " needs registry.in = etcd"));
     switch (fault.kind()) {
       case ETCD_COMPACT -> etcd.compactNow();
-      case ETCD_CUT -> cut(etcd, fault);
+      case ETCD_CUT -> loseLeader(etcd, fault);
       case ETCD_SILENCE -> {
-        etcd.silence(true);
-        timeline.after(fault.length(), () -> etcd.silence(false));
+        etcd.setSilent(true);
+        timeline.runAfter(fault.length(), () -> etcd.setSilent(false));
       }
       case ETCD_DELAY -> {
-        etcd.delay((long) fault.size());
-        timeline.after(fault.length(), () -> etcd.delay(0));
+        etcd.setEventDelayMillis((long) fault.size());
+        timeline.runAfter(fault.length(), () -> etcd.setEventDelayMillis(0));
       }
       case ETCD_RESTORE ->
           etcd.restore(
-              Math.max(MIN_RESTORED_REVISION, etcd.revision() - RESTORED_REVISIONS_BACK), false);
+              Math.max(MIN_RESTORED_REVISION, etcd.revision() - REVISIONS_LOST_BY_RESTORE), false);
       case ETCD_LEASES -> etcd.revokeAll();
       default -> throw new IllegalArgumentException("not a fault of the store: " + fault.kind());
     }
   }
 
   /** Without a leader for a while, and compacted when it has one again. */
-  private void cut(EmulatedEtcd etcd, FaultPlan fault) {
+  private void loseLeader(EmulatedEtcd etcd, ScenarioFault fault) {
     etcd.leaderless(true);
-    timeline.after(
+    timeline.runAfter(
         fault.length(),
         () -> {
           etcd.compactNow();
--- a/src/main/java/fordridge/emulator/Timers.java
+++ b/src/main/java/fordridge/emulator/Timers.java
@@ -27,17 +27,17 @@
   /** Runs something once after a delay. */
   static void schedule(ScheduledExecutorService executor, Duration delay, Runnable action) {
     Future<?> unused =
-        executor.schedule(logged(action), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
+        executor.schedule(loggingFailures(action), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
   }
 
   /** Runs something again and again, with a pause after each time. */
   static void repeat(ScheduledExecutorService executor, Duration pause, Runnable action) {
     Future<?> unused =
         executor.scheduleWithFixedDelay(
-            logged(action), pause.toNanos(), pause.toNanos(), TimeUnit.NANOSECONDS);
+            loggingFailures(action), pause.toNanos(), pause.toNanos(), TimeUnit.NANOSECONDS);
   }
 
-  private static Runnable logged(Runnable action) {
+  private static Runnable loggingFailures(Runnable action) {
     return () -> {
       try {
         action.run();
--- a/src/main/java/fordridge/emulator/Range.java
+++ b/src/main/java/fordridge/emulator/UniformRange.java
@@ -3,8 +3,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** A range of values, drawn from uniformly. */
-record Range(double least, double most) {
+record UniformRange(double min, double max) {
   double draw(UniformRandomProvider random) {
-    return least + random.nextDouble() * (most - least);
+    return min + random.nextDouble() * (max - min);
   }
 }
--- a/src/main/java/fordridge/emulator/WatchBenchmark.java
+++ b/src/main/java/fordridge/emulator/WatchBenchmark.java
@@ -29,7 +29,7 @@
  */
 public final class WatchBenchmark {
   private static final String PREFIX = "/fordridge";
-  private static final int PROGRESS_MILLIS = 200;
+  private static final int PROGRESS_INTERVAL_MILLIS = 200;
   private static final int LATENCY_CHANGES = 200;
   private static final int CATCH_UP_CHANGES = 10_000;
   private static final int CATCH_UP_BATCH = 100;
@@ -37,7 +37,7 @@
   private static final Duration WAIT_TIMEOUT = Duration.ofMinutes(2);
 
   /** The name of the threads on which the lists work. */
-  private static final String WATCH_THREAD = "etcd";
+  private static final String WATCH_THREAD_NAME = "etcd";
 
   private final EmulatedEtcd etcd;
   private final int machines;
@@ -70,7 +70,7 @@
         "CPU a change",
         "heap a list");
     for (int machines : sizes) {
-      try (EmulatedEtcd etcd = new EmulatedEtcd(0, PROGRESS_MILLIS)) {
+      try (EmulatedEtcd etcd = new EmulatedEtcd(0, PROGRESS_INTERVAL_MILLIS)) {
         WatchBenchmark benchmark = new WatchBenchmark(etcd, machines);
         try {
           out.println(benchmark.measure(listCount));
@@ -255,7 +255,7 @@
     long sum = 0;
     for (long id : threads.getAllThreadIds()) {
       ThreadInfo thread = threads.getThreadInfo(id);
-      if (thread != null && thread.getThreadName().equals(WATCH_THREAD)) {
+      if (thread != null && thread.getThreadName().equals(WATCH_THREAD_NAME)) {
         sum += Math.max(0, threads.getThreadCpuTime(id));
       }
     }
