--- a/src/main/java/fordridge/emulator/ClientBuilder.java
+++ b/src/main/java/fordridge/emulator/ClientBuilder.java
@@ -12,13 +12,16 @@
 
 /** Builds the services and clients of a scenario, one client for each scheduler, from the seed. */
 final class ClientBuilder {
-  /** Separates these draws from those of the fleet. */
+  /** Gives the clients another random sequence than the fleet, which uses the same seed. */
   private static final long SEED_MASK = 0xabcdef;
 
-  /** Separates the draws of the clients of one scenario. */
+  /** Gives each client of a scenario its own random sequence. */
   private static final long SEED_FACTOR = 104729;
 
-  /** Most clients request little, some far more: weights are spread over this power of e. */
+  /**
+   * The weights of the clients lie between 1 and e to this power, log-uniformly: most clients
+   * request little, some far more.
+   */
   private static final double WEIGHT_EXPONENT = 2;
 
   private final ScenarioPlan plan;
@@ -33,7 +36,7 @@
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(plan.run().seed() ^ SEED_MASK);
   }
 
-  /** Builds the clients, which are yet to be opened. */
+  /** Builds the clients without connecting them; {@link EmulatedClient#open} does that. */
   List<EmulatedClient> build(IntUnaryOperator schedulerPort, EventLoopGroup loops) {
     List<ServiceProfile> services = drawServices();
     double[] weights = drawWeights(plan.deployment().instance().count());
@@ -93,7 +96,10 @@
     return last;
   }
 
-  /** The first tenant where the shares don't add up to one; an empty name without tenants. */
+  /**
+   * Draws a tenant by the configured shares. Returns the first tenant for the remainder if the
+   * shares add up to less than one, and an empty name if no tenants are configured.
+   */
   private String drawTenant() {
     double remainingShare = random.nextDouble();
     List<TenantShare> tenants = plan.deployment().tenants();
--- a/src/main/java/fordridge/emulator/ClientFaults.java
+++ b/src/main/java/fordridge/emulator/ClientFaults.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Random;
 
-/** Faults of clients and of their streams. */
+/** Injects faults into clients and their streams to the schedulers. */
 final class ClientFaults {
   private static final int MIN_DISCONNECT_MILLIS = 20;
 
@@ -23,7 +23,12 @@
       case RECONNECT -> reconnect(fault);
       case CUT_CLIENTS -> cutStreams(fault, random);
       case CUT_BINDS -> cutAtAcceptances(fault, random);
-      default -> throw new IllegalArgumentException("not a fault of clients: " + fault.kind());
+      default ->
+          throw new IllegalArgumentException(
+              "fault kind "
+                  + fault.kind()
+                  + " does not apply to clients; valid kinds are BURST, RECONNECT, CUT_CLIENTS and"
+                  + " CUT_BINDS");
     }
   }
 
@@ -47,7 +52,8 @@
   }
 
   private void cutStreams(ScenarioFault fault, Random random) {
-    Duration disconnectTime = Duration.ofMillis((long) Math.max(MIN_DISCONNECT_MILLIS, fault.size()));
+    Duration disconnectTime =
+        Duration.ofMillis((long) Math.max(MIN_DISCONNECT_MILLIS, fault.size()));
     for (EmulatedClient client : targets.clients(fault, random)) {
       client.execute(() -> client.stream().cut(disconnectTime));
     }
--- a/src/main/java/fordridge/emulator/ClientOutcomes.java
+++ b/src/main/java/fordridge/emulator/ClientOutcomes.java
@@ -10,8 +10,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What the clients of a scenario got: over all, by priority class and by tenant. A VM counts as
- * requested once, however often it is requested again. Thread-safe.
+ * Counts the outcomes of the clients' placement requests: in total, by priority class and by
+ * tenant. A VM counts as requested once, however often its client retries it. Thread-safe.
  */
 final class ClientOutcomes {
   private static final long MAX_LATENCY_US = 3_600_000_000L;
@@ -75,7 +75,7 @@
     countsFor(service).forEach(counts -> counts.requested++);
   }
 
-  /** A VM runs for the first time, so long after its first request. */
+  /** Counts a VM that runs for the first time, with the time since its first request. */
   synchronized void running(ServiceProfile service, long latencyUs) {
     boolean isInTime =
         latencyUs <= service.priorityClass().startLatencyObjective().toNanos() / 1000;
@@ -104,7 +104,10 @@
     return overall().map(counts -> counts.requested).orElse(0L);
   }
 
-  /** The share of requested VMs that ran within their start latency objective; NaN if none was. */
+  /**
+   * Returns the share of requested VMs that ran within their start latency objective; NaN if no VM
+   * was requested.
+   */
   synchronized double inTimeShare() {
     return overall()
         .filter(counts -> counts.requested > 0)
@@ -112,7 +115,10 @@
         .orElse(Double.NaN);
   }
 
-  /** A percentile of the time from the first request until a VM ran; NaN if none was requested. */
+  /**
+   * Returns a percentile of the time from the first request of a VM until it ran; NaN if no VM was
+   * requested.
+   */
   synchronized double latencyMillis(double percentile) {
     return overall().map(counts -> counts.latencyMillis(percentile)).orElse(Double.NaN);
   }
@@ -121,7 +127,7 @@
     return Optional.ofNullable(countsByGroup.get(Group.ALL));
   }
 
-  /** A table of several lines, a row for each group. */
+  /** Returns a table as text, with a header line and a row for each group. */
   synchronized String table() {
     StringBuilder table =
         new StringBuilder(
--- a/src/main/java/fordridge/emulator/ConstraintPublisher.java
+++ b/src/main/java/fordridge/emulator/ConstraintPublisher.java
@@ -17,8 +17,9 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * Publishes generated sets of tenants' constraints in the store, one after another, and times their
- * validation. A set that fails it is published as well: the schedulers are to refuse it.
+ * Publishes generated sets of tenants' constraints in the emulated etcd, one after another, and
+ * measures how long their validation takes. Sets that fail validation are published as well: the
+ * schedulers have to reject them.
  */
 final class ConstraintPublisher {
   private static final String KEY = "/terms/constraints";
@@ -52,7 +53,7 @@
     return new MachineTopology(machine.name(), labels.kind(), labels.zone(), labels.cell());
   }
 
-  /** Schedules all sets, counted from now. */
+  /** Schedules the publication of all sets, the first one now. */
   void schedule(ScheduledExecutorService executor) {
     for (int i = 0; i < plan.constraints().generatedSets(); i++) {
       int number = i;
@@ -65,7 +66,8 @@
     String text = generator.generate(number);
     long startNanos = System.nanoTime();
     boolean isValid = isValid(text, startNanos);
-    slowestValidationMillis = Math.max(slowestValidationMillis, (System.nanoTime() - startNanos) / 1e6);
+    slowestValidationMillis =
+        Math.max(slowestValidationMillis, (System.nanoTime() - startNanos) / 1e6);
     if (isValid) {
       recordConstraints(recorder, text, plan.deployment().totalSchedulers());
     } else {
@@ -95,7 +97,7 @@
     return System.nanoTime() - startNanos > VALIDATION_TIMEOUT.toNanos();
   }
 
-  /** Records that a set is in force at so many schedulers. */
+  /** Records a valid set of constraints, and the number of schedulers that enforce it. */
   static void recordConstraints(WireRecorder recorder, String text, int schedulers) {
     recorder
         .event(Scenario.SOURCE, RecordKind.CONSTRAINTS_PUBLISHED)
--- a/src/main/java/fordridge/emulator/CutPoint.java
+++ b/src/main/java/fordridge/emulator/CutPoint.java
@@ -1,6 +1,6 @@
 package fordridge.emulator;
 
-/** The point in a conversation at which a fault breaks a machine's stream. */
+/** The point in the message exchange at which a fault breaks a scheduler's stream to a machine. */
 enum CutPoint {
   NONE,
   AFTER_GREETING,
--- a/src/main/java/fordridge/emulator/EmulatedClient.java
+++ b/src/main/java/fordridge/emulator/EmulatedClient.java
@@ -23,25 +23,25 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * An emulated client: requests VMs of its scheduler at a rate, and requests them again after a
- * rejection, a failure that does no harm, or a loss.
+ * An emulated client: requests VMs from its scheduler at a configured mean rate. It retries after a
+ * rejection or the loss of a VM, and after a failed request if the VM is idempotent.
  *
- * <p>All its state belongs to its event loop; {@link #execute} is the way in for other threads.
+ * <p>Confined to its event loop; other threads call {@link #execute}.
  */
 final class EmulatedClient implements EmulatedClientStream.Handler {
-  /** A request with less time left is not sent. */
+  /** Requests with this time or less until their deadline are not sent. */
   private static final long MIN_TIME_LEFT_US = 50_000;
 
   private static final long RETRY_AFTER_MIGRATION_US = 50_000;
   private static final long MIN_RETRY_AFTER_LOSS_US = 50_000;
   private static final int RETRY_AFTER_LOSS_JITTER_US = 300_000;
 
-  /** A lost VM with less time to run is not requested again. */
+  /** A lost VM with this remaining run time or less is not requested again. */
   private static final long MIN_REMAINING_LIFE_US = 1_000_000;
 
   private static final double MIN_LIFE_SECONDS = 1;
 
-  /** Cuts the tail of the exponential distribution of lives. */
+  /** Run times are drawn from an exponential distribution, truncated at this quantile. */
   private static final double LIFE_QUANTILE = 0.95;
 
   private final String name;
@@ -60,9 +60,10 @@
   private volatile int pendingCount;
 
   /**
-   * Where a client connects to, and its share of the load.
+   * The name of a client, its scheduler, its share of the load and its seed.
    *
-   * @param port of its scheduler on loopback
+   * @param port the loopback port of its scheduler
+   * @param ratePerSecond mean number of VMs that it requests per second
    */
   record Identity(String name, int port, double ratePerSecond, long seed) {}
 
@@ -84,34 +85,34 @@
     stream = new EmulatedClientStream(name, identity.port(), loop, recorder, random, this);
   }
 
-  /** Does something to the client on its event loop. */
+  /** Runs an action on the event loop of this client. */
   void execute(Runnable action) {
     loop.execute(action);
   }
 
-  /** Requests that wait for a response; from any thread. */
+  /** Number of requests that wait for a response. May be called from any thread. */
   int pendingCount() {
     return pendingCount;
   }
 
-  // On the event loop from here on.
+  // All methods below are called on the event loop.
 
-  /** The stream to its scheduler, for faults. */
+  /** The stream to the scheduler, on which faults are injected. */
   EmulatedClientStream stream() {
     return stream;
   }
 
-  /** Multiplies the rate of requests. */
+  /** Multiplies the request rate. */
   void scaleRate(double factor) {
     ratePerSecond *= factor;
   }
 
-  /** Ends an earlier {@link #scaleRate} by the same factor. */
+  /** Undoes an earlier {@link #scaleRate} with the same factor. */
   void undoScaleRate(double factor) {
     ratePerSecond /= factor;
   }
 
-  /** Requests VMs until this time of the recording. */
+  /** Requests batches of VMs at random intervals until this time of the recording. */
   void requestUntil(long endUs) {
     double waitSeconds = -Math.log(1 - random.nextDouble()) * plan.meanBatchSize() / ratePerSecond;
     Timers.schedule(
@@ -144,7 +145,10 @@
     request(new RequestedVm(workload, service, recorder.nowUs(), (long) (lifeSeconds * 1e6)));
   }
 
-  /** Stops this share of the running VMs and requests them all again within the span. */
+  /**
+   * Stops a share of the running VMs, drawn at random, and requests the idempotent ones again
+   * within the given time.
+   */
   void restartVms(double share, Duration within) {
     for (String vm : List.copyOf(running.keySet())) {
       if (random.nextDouble() < share) {
@@ -172,8 +176,8 @@
   }
 
   /**
-   * Sends what the stream takes. A request leaves with the time that is left as it is written, so
-   * that none waits behind others in a buffer.
+   * Sends unsent requests while the transport is ready. A request carries the time until its
+   * deadline as of the moment it is written, so it must not wait in a transport buffer.
    */
   @Override
   public void writable() {
@@ -218,8 +222,8 @@
   }
 
   /**
-   * Repeats the pending requests: they may have been lost with the stream, and a scheduler that has
-   * them knows them by their names.
+   * Repeats the pending requests, which may have been lost with the previous stream. A scheduler
+   * that did receive them recognizes the repetitions by the VM names.
    */
   @Override
   public void connected() {
@@ -271,7 +275,10 @@
             });
   }
 
-  /** What must not run twice and may be running is not requested again. */
+  /**
+   * Retries only idempotent VMs: after a failure the VM may be running, and one that is not
+   * idempotent must not run twice.
+   */
   private void failed(String vmName) {
     recorder.event(name, RecordKind.ERRORED).with(RecordField.VM, vmName).write();
     removePending(vmName)
@@ -315,7 +322,7 @@
     }
   }
 
-  /** Connects to its scheduler. */
+  /** Connects to the scheduler. */
   void open() {
     stream.open();
   }
--- a/src/main/java/fordridge/emulator/EmulatedClientStream.java
+++ b/src/main/java/fordridge/emulator/EmulatedClientStream.java
@@ -20,25 +20,26 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A client's stream to its scheduler: connects, reconnects after a break, resumes the session by
- * its token, and acknowledges what it received. All its state belongs to the client's event loop.
+ * The stream of an emulated client to its scheduler: connects, reconnects after a failure, resumes
+ * the session with its token, and acknowledges received messages. Confined to the client's event
+ * loop.
  */
 final class EmulatedClientStream {
   private static final int MIN_RECONNECT_MILLIS = 20;
   private static final int RECONNECT_JITTER_MILLIS = 60;
 
-  /** Messages are acknowledged when so many have arrived since the last acknowledgement. */
+  /** Number of received messages after which an acknowledgement is sent. */
   private static final int MESSAGES_PER_ACKNOWLEDGEMENT = 16;
 
-  /** Hears of the session, on the event loop. */
+  /** Receives the events of the session, on the event loop. */
   interface Handler {
-    /** The scheduler took up the session, or began a new one. */
+    /** The scheduler resumed the session or opened a new one. */
     void connected();
 
-    /** The stream takes messages again. */
+    /** The transport is ready for more messages. */
     void writable();
 
-    /** A message other than the welcome, for the first time. */
+    /** A message arrived that is neither a welcome nor a repetition. */
     void received(PlacerMessage message, long nowUs);
   }
 
@@ -51,7 +52,7 @@
   private Optional<ManagedChannel> channel = Optional.empty();
   private Optional<ClientCallStreamObserver<ClientMessage>> stream = Optional.empty();
 
-  /** Tells the events of the present stream from those of earlier ones. */
+  /** Number of the current stream; events of earlier streams are ignored. */
   private int generation;
 
   private boolean isOpen;
@@ -119,7 +120,7 @@
         .build();
   }
 
-  /** Passes on the events of one stream, until another one replaces it. */
+  /** Passes on the events of one stream until another stream replaces it. */
   private final class Responses implements ClientResponseObserver<ClientMessage, PlacerMessage> {
     private final int ownGeneration;
 
@@ -177,7 +178,7 @@
     generation++;
   }
 
-  /** Breaks the stream, and connects again after a while. */
+  /** Breaks the stream, and reconnects after the given time. */
   void cut(Duration disconnectTime) {
     if (stream.isEmpty()) {
       return;
@@ -189,7 +190,10 @@
     Timers.schedule(loop, disconnectTime, this::connect);
   }
 
-  /** Breaks the stream at the next acceptances, before they are seen or acknowledged. */
+  /**
+   * Breaks the stream when each of the next acceptances arrives, before the client handles or
+   * acknowledges it.
+   */
   void cutAtAcceptances(int times, Duration newDisconnectTime) {
     acceptancesToCut = times;
     disconnectTime = newDisconnectTime;
@@ -199,19 +203,19 @@
     isOpen = false;
     stream.ifPresent(
         open -> {
-          open.cancel("the scenario is over", null);
+          open.cancel("the scenario has ended", null);
           stream = Optional.empty();
           generation++;
         });
     channel.ifPresent(ManagedChannel::shutdownNow);
   }
 
-  /** Whether a request written now leaves at once. */
+  /** Whether a request can be sent now without being buffered. */
   boolean isWritable() {
     return isSessionEstablished && stream.isPresent() && stream.get().isReady();
   }
 
-  /** Writes a message; it is lost if there is no stream. */
+  /** Sends a message; drops it if no stream is open. */
   void write(ClientMessage.Builder message) {
     stream.ifPresent(open -> open.onNext(message.build()));
   }
--- a/src/main/java/fordridge/emulator/EmulatedEtcd.java
+++ b/src/main/java/fordridge/emulator/EmulatedEtcd.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An emulated etcd on loopback, by the published v3 API: ranges, puts, deletes, transactions,
- * compaction, leases and watches over a store in memory, with faults to inject. It is one member
- * that always leads unless it is made leaderless. Thread-safe.
+ * An emulated etcd on loopback that serves the published v3 API from memory: ranges, puts, deletes,
+ * transactions, compaction, leases and watches. Faults can be injected. It emulates a cluster of a
+ * single member, which is the leader unless {@link #leaderless} is in force. Thread-safe.
  */
 public final class EmulatedEtcd implements AutoCloseable {
   private static final int DEFAULT_PROGRESS_INTERVAL_MILLIS = 500;
@@ -22,9 +22,9 @@
   private static final int MAX_MESSAGE_BYTES = 16 << 20;
   private static final int MIN_KEEPALIVE_INTERVAL_MILLIS = 50;
 
-  /** Hears what is sent to which client; called under the lock of the state. */
+  /** Is notified of what is sent to each client; called with the lock of the state held. */
   interface SendListener {
-    /** Hears nothing. */
+    /** Ignores all events. */
     SendListener NONE =
         new SendListener() {
           @Override
@@ -34,10 +34,12 @@
           public void recordSent(String client, String key, boolean isDeleted) {}
         };
 
-    /** A client is sent the present state of a range; its records follow. */
+    /**
+     * A client is sent the latest state of a range; {@link #recordSent} follows for each record.
+     */
     void snapshotSent(String client);
 
-    /** A client is sent a record, or that it was deleted. */
+    /** A client is sent a record or the deletion of one. */
     void recordSent(String client, String key, boolean isDeleted);
   }
 
@@ -46,16 +48,17 @@
   private final EtcdState state = new EtcdState(executor);
   private final Server server;
 
-  /** Begins to serve on a free port. */
+  /** Starts a server on a free port. */
   public EmulatedEtcd() throws IOException {
     this(0, DEFAULT_PROGRESS_INTERVAL_MILLIS);
   }
 
   /**
-   * Begins to serve.
+   * Starts a server.
    *
-   * @param port on loopback; 0 for a free one
-   * @param progressIntervalMillis how often progress is sent to the watches that want it
+   * @param port the loopback port; 0 for a free one
+   * @param progressIntervalMillis the interval at which progress notifications are sent to the
+   *     watches that ask for them
    */
   public EmulatedEtcd(int port, long progressIntervalMillis) throws IOException {
     server =
@@ -90,7 +93,7 @@
     return server.getPort();
   }
 
-  /** Calls without this token fail from now on. */
+  /** Rejects calls without this authentication token from now on. */
   public void requireToken(String token) {
     interceptor.requireToken(token);
   }
@@ -101,14 +104,14 @@
     }
   }
 
-  // Direct access to the store, beside its clients.
+  // Direct access to the store, bypassing the API.
 
-  /** Puts a value; the new revision. */
+  /** Puts a value and returns the new revision. */
   public long put(String key, String value) {
     return put(key, ByteString.copyFromUtf8(value), 0);
   }
 
-  /** Puts a value with a lease, 0 for none; the new revision. */
+  /** Puts a value attached to a lease (0 for none) and returns the new revision. */
   public long put(String key, ByteString value, long lease) {
     synchronized (state) {
       state.store().begin();
@@ -118,7 +121,7 @@
     }
   }
 
-  /** Puts values at one revision, which is returned; a null value deletes. */
+  /** Writes all values at one new revision, which is returned; a null value deletes its key. */
   public long putAll(Map<String, String> values) {
     synchronized (state) {
       state.store().begin();
@@ -137,7 +140,7 @@
     }
   }
 
-  /** Deletes a key; the revision after that. */
+  /** Deletes a key and returns the revision after that. */
   public long delete(String key) {
     synchronized (state) {
       state.store().begin();
@@ -147,14 +150,14 @@
     }
   }
 
-  /** The present revision. */
+  /** The latest revision. */
   public long revision() {
     synchronized (state) {
       return state.store().revision();
     }
   }
 
-  /** The number of range requests so far. */
+  /** The number of range requests received so far. */
   public long ranges() {
     synchronized (state) {
       return state.rangeRequestCount();
@@ -168,14 +171,14 @@
     }
   }
 
-  /** Ends a lease and deletes its keys. */
+  /** Revokes a lease and deletes the keys attached to it. */
   public void revoke(long lease) {
     synchronized (state) {
       state.revoke(lease);
     }
   }
 
-  /** Ends all leases and deletes their keys. */
+  /** Revokes all leases and deletes the keys attached to them. */
   public void revokeAll() {
     synchronized (state) {
       state.leases().all().forEach(state::revoke);
@@ -184,21 +187,21 @@
 
   // Faults.
 
-  /** Compacts the history up to the present revision, if there is any. */
+  /** Compacts the history up to the latest revision. */
   public void compactNow() {
     synchronized (state) {
       try {
         state.store().compact(state.store().revision());
       } catch (MvccStore.RevisionUnavailableException e) {
-        // The present revision is compacted already.
+        // The latest revision is already compacted.
         return;
       }
       state.sendPendingEvents();
     }
   }
 
-  /** Watches stay open and nothing is sent: no events, no progress. */
-  public void setSilent(boolean on) {
+  /** Starts or stops withholding all events and progress notifications; watches stay open. */
+  public void silence(boolean on) {
     synchronized (state) {
       state.faults().isSilent = on;
       if (!on) {
@@ -207,7 +210,10 @@
     }
   }
 
-  /** Requests fail for want of a leader; watches end. */
+  /**
+   * Removes or restores the leader. Without one, requests fail with "no leader"; the open watches
+   * end when it is removed.
+   */
   public void leaderless(boolean on) {
     synchronized (state) {
       state.faults().isLeaderless = on;
@@ -217,14 +223,14 @@
     }
   }
 
-  /** Ranges are answered this much later. */
+  /** Delays the responses to range requests. */
   public void slowRanges(long millis) {
     synchronized (state) {
       state.faults().rangeDelayMillis = millis;
     }
   }
 
-  /** Events are sent this much later. */
+  /** Delays the watch responses that carry events. */
   public void setEventDelayMillis(long millis) {
     synchronized (state) {
       state.faults().eventDelayMillis = millis;
@@ -232,10 +238,11 @@
   }
 
   /**
-   * Limits the events in one response, where the watch allows fragments.
+   * Limits the events in one watch response, for watches that allow fragments.
    *
-   * @param maxEvents events in a response
-   * @param resetAfter the first stream that has been sent so many responses is reset; 0 for none
+   * @param maxEvents the most events in a response
+   * @param resetAfter the number of responses with events after which a stream is reset; only the
+   *     first stream to reach it is reset; 0 for none
    */
   public void fragments(int maxEvents, int resetAfter) {
     synchronized (state) {
@@ -244,21 +251,26 @@
     }
   }
 
-  /** Watches that return are sent some events again that they have seen. */
+  /** Starts or stops sending some earlier events again to watches with a start revision. */
   public void repeat(boolean on) {
     synchronized (state) {
       state.faults().repeatsEvents = on;
     }
   }
 
-  /** Ends all watches. */
+  /** Ends all watch streams with an error. */
   public void cut() {
     synchronized (state) {
       state.endWatchStreams();
     }
   }
 
-  /** Goes back to a revision without history, as after a restore from a backup. */
+  /**
+   * Emulates a restore from a backup: sets the revision back, drops the history, and ends all
+   * watches.
+   *
+   * @param otherCluster whether the cluster id changes as well
+   */
   public void restore(long revision, boolean otherCluster) {
     synchronized (state) {
       state.store().restore(revision);
--- a/src/main/java/fordridge/emulator/EmulatedMachine.java
+++ b/src/main/java/fordridge/emulator/EmulatedMachine.java
@@ -26,9 +26,10 @@
 import java.util.Optional;
 
 /**
- * An emulated machine: the model behind a loopback socket, with faults at the socket.
+ * An emulated machine: serves a {@link MachineModel} on a loopback socket, where faults can be
+ * injected.
  *
- * <p>All its state belongs to its event loop; {@link #execute} is the way in for other threads.
+ * <p>Confined to its event loop; other threads call {@link #execute}.
  */
 final class EmulatedMachine implements MachineListener, MachineService.Handler {
   private final MachineSpec spec;
@@ -42,9 +43,9 @@
   private Optional<Duration> wakeUpAt = Optional.empty();
 
   /**
-   * Begins to listen on a free port.
+   * Starts to listen on a free port.
    *
-   * @param epochNanos the {@link System#nanoTime} that is time zero of the model
+   * @param epochNanos the value of {@link System#nanoTime} at time zero of the model
    */
   EmulatedMachine(
       MachineSpec spec,
@@ -77,7 +78,7 @@
     return server.port();
   }
 
-  /** Does something to the machine on its event loop. */
+  /** Runs an action on the event loop of this machine, with the model at the current time. */
   void execute(Runnable action) {
     loop.execute(() -> run(action));
   }
@@ -107,7 +108,7 @@
     return Duration.ofNanos(System.nanoTime() - epochNanos);
   }
 
-  // Messages of schedulers.
+  // Messages from schedulers.
 
   @Override
   public void greeted(String scheduler, ServerCallStreamObserver<FromMachine> stream) {
@@ -180,7 +181,7 @@
     streams.closed(scheduler, stream);
   }
 
-  // Answers of the model.
+  // Events of the model, which are sent to the schedulers.
 
   @Override
   public void accepted(HostedVm vm) {
@@ -221,7 +222,9 @@
             .with(RecordField.HAS_RUN, hasRun));
   }
 
-  /** Sends an answer, unless a fault keeps it back. */
+  /**
+   * Sends a response, unless there is no open stream or a fault loses it; records it either way.
+   */
   private void sendResponse(HostedVm vm, FromMachine message, WireRecorder.Event event) {
     String scheduler = vm.offer().attempt().scheduler();
     Optional<ServerCallStreamObserver<FromMachine>> stream = streams.find(scheduler);
@@ -234,7 +237,7 @@
     }
   }
 
-  /** Reports to probes don't get lost with the answers. */
+  /** Responds to a probe. A fault that loses other responses does not lose these. */
   @Override
   public void loadReport(String scheduler, long probeNumber) {
     Optional<ServerCallStreamObserver<FromMachine>> stream = streams.find(scheduler);
@@ -269,7 +272,7 @@
     sendNote(vm, Note.What.PRESSURE, share);
   }
 
-  /** Notes are not answers: they are dropped while the stream is slow. */
+  /** Sends a note about a VM. Unlike a response, it is dropped while the stream is not ready. */
   private void sendNote(HostedVm vm, Note.What subject, double amount) {
     String scheduler = vm.offer().attempt().scheduler();
     Optional<ServerCallStreamObserver<FromMachine>> stream = streams.find(scheduler);
@@ -302,7 +305,7 @@
         .with(RecordField.ATTEMPT_NUMBER, attempt.number());
   }
 
-  // Faults and state, on the machine's event loop.
+  // Access to state and faults, on the machine's event loop.
 
   MachineModel model() {
     return model;
@@ -316,7 +319,10 @@
     return socketFaults;
   }
 
-  /** It neither reads nor writes, and takes no connections; nothing is reset. */
+  /**
+   * Starts or stops a fault in which the machine neither reads nor writes and accepts no
+   * connections, while its open connections are not reset.
+   */
   void setVanished(boolean on) {
     server.setReading(!on);
     socketFaults.setVanished(on);
@@ -328,7 +334,7 @@
     streams.cutAll();
   }
 
-  /** The process dies: streams are reset, and what ran is lost. */
+  /** Emulates the death of the process: streams are reset and all VMs are lost. */
   void crash() {
     event(RecordKind.CRASH).write();
     model.crash();
@@ -337,7 +343,7 @@
     server.kill();
   }
 
-  /** Comes up at the same address with nothing running, and warms up. */
+  /** Starts the machine again at the same address without VMs; it warms up. */
   void restart() {
     if (socketFaults.isVanished()) {
       event(RecordKind.CRASH).write();
@@ -349,7 +355,7 @@
     model.faults().setPaused(false);
     model.restart(now());
     recordStart();
-    // A spare machine that joins the fleet listens already.
+    // A spare machine that joins the fleet was not killed and is already listening.
     if (server.getAndClearKilled()) {
       restartServer();
     }
@@ -367,7 +373,9 @@
         .write();
   }
 
-  /** Starting waits for the event loop, so it is done on a thread of its own. */
+  /**
+   * Restarts the server on a new thread: starting blocks until the event loop has bound the port.
+   */
   private void restartServer() {
     Thread thread =
         new Thread(
--- a/src/main/java/fordridge/emulator/EmulatedRegistry.java
+++ b/src/main/java/fordridge/emulator/EmulatedRegistry.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * An emulated registry of machines: publishes the machine list at an interval, as it was some delay
- * ago. Thread-safe.
+ * An emulated registry of machines: publishes the machine list at a fixed interval, with the state
+ * of the machines as it was some time before. Thread-safe.
  */
 final class EmulatedRegistry implements AutoCloseable {
   private static final String SOURCE = "registry";
@@ -36,7 +36,7 @@
   // Guarded by this.
   private final Map<String, RegisteredMachine> machines = new LinkedHashMap<>();
 
-  // Of the executor's thread, once it is started.
+  // Confined to the executor's thread once the registry is started.
   private final Map<String, PublishedState> published = new HashMap<>();
   private final Deque<Snapshot> snapshots = new ArrayDeque<>();
 
@@ -46,17 +46,18 @@
     delayUs = delay.toNanos() / 1000;
   }
 
-  /** Registers a machine, or changes its state. */
+  /** Registers a machine or changes its state. */
   void setState(EmulatedMachine machine, State state) {
     setState(machine, state, Optional.empty());
   }
 
-  /** A machine is live again, since this time. */
+  /** Marks a machine as live again, with the time at which it started. */
   void setRestarted(EmulatedMachine machine, Instant startedAt) {
     setState(machine, State.LIVE, Optional.of(startedAt));
   }
 
-  private synchronized void setState(EmulatedMachine machine, State state, Optional<Instant> startedAt) {
+  private synchronized void setState(
+      EmulatedMachine machine, State state, Optional<Instant> startedAt) {
     RegisteredMachine old = machines.get(machine.name());
     double freeCores = old == null ? machine.spec().capacity().cores() : old.freeCores();
     double freeMemory = old == null ? machine.spec().capacity().memory() : old.freeMemory();
@@ -69,7 +70,7 @@
     return registered != null && registered.isIn(State.GONE);
   }
 
-  /** Publishes the machines that are registered, and goes on publishing at the interval. */
+  /** Publishes the registered machines now, and then at the given interval. */
   void start(Duration interval) throws IOException {
     publish(snapshot());
     Timers.repeat(executor, interval, this::publishDue);
@@ -101,7 +102,7 @@
     }
   }
 
-  /** The machine tells its free capacity for the next snapshot. */
+  /** Fetches the machine's free capacity, on its event loop, for the next snapshot. */
   private void updateFreeCapacity(EmulatedMachine machine) {
     machine.execute(
         () -> {
@@ -114,7 +115,11 @@
         });
   }
 
-  /** A machine may be used as soon as the list is visible, and is closed no earlier than that. */
+  /**
+   * Writes the list and records the changes. Changes to the live state are recorded before
+   * schedulers can read the list, as they may use such a machine at once; all others afterwards, as
+   * schedulers cannot know of them earlier.
+   */
   private void publish(Collection<RegisteredMachine> list) throws IOException {
     publisher.write(list, () -> recordChanges(list, true), () -> recordChanges(list, false));
   }
--- a/src/main/java/fordridge/emulator/EtcdClientInterceptor.java
+++ b/src/main/java/fordridge/emulator/EtcdClientInterceptor.java
@@ -9,7 +9,7 @@
 import io.grpc.Status;
 import java.util.Optional;
 
-/** Checks the clients' tokens, and finds their names from the user agent. */
+/** Checks the authentication token of each call and reads the client's name from the user agent. */
 final class EtcdClientInterceptor implements ServerInterceptor {
   private static final Metadata.Key<String> TOKEN =
       Metadata.Key.of("token", Metadata.ASCII_STRING_MARSHALLER);
@@ -20,12 +20,12 @@
 
   private volatile Optional<String> requiredToken = Optional.empty();
 
-  /** Calls without this token fail from now on. */
+  /** Rejects calls without this authentication token from now on. */
   void requireToken(String token) {
     requiredToken = Optional.of(token);
   }
 
-  /** The name of the client whose call is being served. */
+  /** Returns the name of the client whose call is being served. */
   static String currentClient() {
     return CLIENT.get();
   }
@@ -43,7 +43,7 @@
     return Contexts.interceptCall(context, call, headers, next);
   }
 
-  /** The user agent up to its first space, without the product's name. */
+  /** Returns the user agent up to its first space, without the product prefix. */
   private static String clientName(String userAgent) {
     if (userAgent == null) {
       return "";
--- a/src/main/java/fordridge/emulator/EtcdFaults.java
+++ b/src/main/java/fordridge/emulator/EtcdFaults.java
@@ -1,24 +1,27 @@
 package fordridge.emulator;
 
-/** The faults in force at the emulated etcd. Guarded by the lock of {@link EtcdState}. */
+/** The active faults of the emulated etcd. Guarded by the lock of {@link EtcdState}. */
 final class EtcdFaults {
   private static final int DEFAULT_MAX_EVENTS_PER_FRAGMENT = 1000;
 
-  /** Watches stay open and nothing is sent: no events, no progress. */
+  /** Watches stay open, but no events and no progress notifications are sent. */
   boolean isSilent;
 
-  /** Requests fail for want of a leader. */
+  /** Requests fail with "no leader". */
   boolean isLeaderless;
 
-  /** Watches that return are sent some events again that they have seen. */
+  /** Watches that are created with a start revision are sent some earlier events again. */
   boolean repeatsEvents;
 
   long rangeDelayMillis;
   long eventDelayMillis;
 
-  /** The most events in one response, where the watch allows fragments. */
+  /** The most events in one response, for watches that allow fragments. */
   int maxEventsPerFragment = DEFAULT_MAX_EVENTS_PER_FRAGMENT;
 
-  /** The first stream that has been sent so many responses with events is reset; 0 for none. */
+  /**
+   * The number of responses with events after which a stream is reset; only the first stream to
+   * reach it is reset. 0 for none.
+   */
   int fragmentsBeforeReset;
 }
--- a/src/main/java/fordridge/emulator/EtcdKvService.java
+++ b/src/main/java/fordridge/emulator/EtcdKvService.java
@@ -24,7 +24,7 @@
 
 /** The key-value service of the emulated etcd. */
 final class EtcdKvService extends KVGrpc.KVImplBase {
-  /** Makes a response, under the lock of the state. */
+  /** Creates a response; called with the lock of the state held. */
   private interface Operation<T> {
     T run() throws MvccStore.RevisionUnavailableException;
   }
@@ -224,7 +224,8 @@
           response.setResponseDeleteRange(
               delete(request.getRequestDeleteRange()).setHeader(state.header()));
       default ->
-          response.setResponseTxn(runTransaction(request.getRequestTxn()).setHeader(state.header()));
+          response.setResponseTxn(
+              runTransaction(request.getRequestTxn()).setHeader(state.header()));
     }
     return response.build();
   }
--- a/src/main/java/fordridge/emulator/EtcdLeaseService.java
+++ b/src/main/java/fordridge/emulator/EtcdLeaseService.java
@@ -55,7 +55,7 @@
   @Override
   public StreamObserver<LeaseKeepAliveRequest> leaseKeepAlive(
       StreamObserver<LeaseKeepAliveResponse> observer) {
-    // With a handler set, writing to a cancelled stream does not throw.
+    // gRPC throws on a write to a cancelled stream unless a cancel handler is set.
     ((ServerCallStreamObserver<LeaseKeepAliveResponse>) observer).setOnCancelHandler(() -> {});
     return new KeepAliveStream(observer);
   }
@@ -81,7 +81,7 @@
 
     @Override
     public void onError(Throwable cause) {
-      // The client is gone; its leases expire by themselves.
+      // The client disconnected; its leases expire unless it renews them on another stream.
     }
 
     @Override
--- a/src/main/java/fordridge/emulator/EtcdLeases.java
+++ b/src/main/java/fordridge/emulator/EtcdLeases.java
@@ -27,7 +27,11 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Grants a lease; its id is drawn if none is wanted. */
+  /**
+   * Grants a lease and returns its id.
+   *
+   * @param requestedId the id that the client asks for; 0 to use the next free one
+   */
   long grant(long requestedId, long ttlSeconds) {
     long id = requestedId != 0 ? requestedId : nextId++;
     leases.put(id, Lease.startingNow(ttlSeconds));
@@ -42,19 +46,19 @@
     leases.remove(id);
   }
 
-  /** Renews a lease; its time to live in seconds, 0 if there is no such lease. */
+  /** Renews a lease and returns its time to live in seconds; 0 if there is no such lease. */
   long keepAlive(long id) {
     Lease renewed = leases.computeIfPresent(id, (key, old) -> Lease.startingNow(old.ttlSeconds()));
     return renewed == null ? 0 : renewed.ttlSeconds();
   }
 
-  /** The time to live that was granted, in seconds; 0 if there is no such lease. */
+  /** Returns the granted time to live in seconds; 0 if there is no such lease. */
   long grantedTtlSeconds(long id) {
     Lease lease = leases.get(id);
     return lease == null ? 0 : lease.ttlSeconds();
   }
 
-  /** The time until it expires, in seconds; -1 if there is no such lease. */
+  /** Returns the time until the lease expires in seconds; -1 if there is no such lease. */
   long remainingSeconds(long id) {
     Lease lease = leases.get(id);
     return lease == null ? -1 : Math.max(0, (lease.expiresAtMillis() - nowMillis()) / 1000);
--- a/src/main/java/fordridge/emulator/EtcdMachineListWriter.java
+++ b/src/main/java/fordridge/emulator/EtcdMachineListWriter.java
@@ -8,9 +8,8 @@
 import java.util.Objects;
 
 /**
- * Publishes the machine list to the emulated etcd: one record for each machine that may be reached
- * and one for each drain. Records that did not change are not written; all changes have one
- * revision.
+ * Writes the machine list to the emulated etcd: one record for each machine that is not gone, and
+ * one for each machine that is draining. Only changed records are written, all at one revision.
  */
 final class EtcdMachineListWriter implements MachineListWriter {
   private static final String DRAIN_RECORD = "{\"v\":2}";
@@ -32,7 +31,8 @@
       String name = registered.machine().name();
       boolean isGone = registered.isIn(RegisteredMachine.State.GONE);
       boolean isDraining = registered.isIn(RegisteredMachine.State.DRAINING);
-      addIfChanged(changes, prefix + "/machines/" + name, isGone ? null : machineRecord(registered));
+      addIfChanged(
+          changes, prefix + "/machines/" + name, isGone ? null : machineRecord(registered));
       addIfChanged(changes, prefix + "/drains/" + name, isDraining ? DRAIN_RECORD : null);
     }
     beforeVisible.run();
@@ -42,7 +42,7 @@
     afterVisible.run();
   }
 
-  /** A null value deletes the record. */
+  /** Adds a record to the changes if it differs from the published one; null deletes it. */
   private void addIfChanged(Map<String, String> changes, String key, String value) {
     if (!Objects.equals(published.put(key, value), value)) {
       changes.put(key, value);
--- a/src/main/java/fordridge/emulator/EtcdState.java
+++ b/src/main/java/fordridge/emulator/EtcdState.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * What the services of the emulated etcd share. The object itself is the lock: all of its state,
- * and all that is reached through it, is used by its holder only.
+ * The state that the services of the emulated etcd share. This object is also the lock: callers
+ * must hold its monitor to use this state and any object reached through it.
  */
 final class EtcdState {
   private static final long FIRST_CLUSTER_ID = 0xf0fd;
@@ -26,7 +26,11 @@
   private long clusterId = FIRST_CLUSTER_ID;
   private long rangeRequestCount;
 
-  /** Delayed work runs on the executor, which takes the lock itself. */
+  /**
+   * Creates an empty state.
+   *
+   * @param executor runs delayed work; its tasks acquire the lock themselves
+   */
   EtcdState(ScheduledExecutorService executor) {
     this.executor = executor;
   }
@@ -63,7 +67,7 @@
     rangeRequestCount++;
   }
 
-  /** Watches of another cluster than before. */
+  /** Changes the cluster id in all further response headers, as if this were another cluster. */
   void changeClusterId() {
     clusterId++;
   }
@@ -85,7 +89,7 @@
     return Status.NOT_FOUND.withDescription("etcdserver: requested lease not found");
   }
 
-  /** Commits the change that was begun in the store, and sends it to the watches. */
+  /** Commits the pending change of the store and sends its events to the watches. */
   void commit() {
     List<Event> events = store.commit();
     if (!events.isEmpty()) {
@@ -117,7 +121,7 @@
     return streams.stream().mapToInt(EtcdWatchStream::watchCount).sum();
   }
 
-  /** Ends a lease and deletes its keys. */
+  /** Revokes a lease and deletes the keys attached to it. */
   void revoke(long lease) {
     leases.remove(lease);
     store.begin();
--- a/src/main/java/fordridge/emulator/EtcdWatch.java
+++ b/src/main/java/fordridge/emulator/EtcdWatch.java
@@ -8,7 +8,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** One watch on a stream: what it wants, and up to which revision it was sent that. */
+/** One watch on a stream: its key range and filters, and the next revision to send. */
 final class EtcdWatch {
   private final long id;
   private final WatchCreateRequest request;
@@ -36,7 +36,7 @@
     return nextRevision > revision;
   }
 
-  /** Takes the events that it was not sent yet, up to the present revision. */
+  /** Returns the unsent events up to the latest revision, and marks them as sent. */
   List<Event> takePendingEvents(MvccStore store) throws MvccStore.RevisionUnavailableException {
     List<Event> pending = new ArrayList<>();
     if (!isCaughtUp(store.revision())) {
--- a/src/main/java/fordridge/emulator/EtcdWatchStream.java
+++ b/src/main/java/fordridge/emulator/EtcdWatchStream.java
@@ -14,11 +14,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A client's stream of watches. Its state is guarded by the lock of {@link EtcdState}. */
+/** A client's stream of watches. Guarded by the lock of {@link EtcdState}. */
 final class EtcdWatchStream implements StreamObserver<WatchRequest> {
-  /** Progress that a client asks for is about all the watches of its stream. */
+  /** Watch id of the response to a progress request, which covers all watches of the stream. */
   private static final long ALL_WATCHES = -1;
 
+  /** Earlier revisions that are sent again while the fault that repeats events is active. */
   private static final int REPEATED_REVISIONS = 3;
 
   private final EtcdState state;
@@ -87,7 +88,7 @@
     return WatchResponse.newBuilder().setHeader(state.header()).setWatchId(id);
   }
 
-  /** Sends progress to the watches that want it now and then. */
+  /** Sends progress notifications to the watches that asked for periodic ones. */
   void sendPeriodicProgress() {
     for (EtcdWatch watch : List.copyOf(watches.values())) {
       if (watch.wantsPeriodicProgress()) {
@@ -104,7 +105,7 @@
     }
   }
 
-  /** Sends each watch the events that it was not sent yet. */
+  /** Sends each watch its unsent events. */
   void sendPending() {
     if (state.faults().isSilent || isEnded) {
       return;
@@ -153,7 +154,7 @@
     }
     long delayMillis = state.faults().eventDelayMillis;
     boolean isDelayed = delayMillis > 0 && response.getEventsCount() > 0;
-    // What follows a delayed response waits behind it.
+    // A response must not overtake a delayed one, so it is queued behind it.
     if (!isDelayed && delayedResponses.isEmpty()) {
       write(response);
       return;
--- a/src/main/java/fordridge/emulator/FaultInjector.java
+++ b/src/main/java/fordridge/emulator/FaultInjector.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * Injects the faults of a scenario into the emulated peers when they are due. Which peers each one
- * hits is drawn from the scenario's seed.
+ * Injects the faults of a scenario into the emulated peers at their scheduled times. The affected
+ * peers are drawn from the scenario's seed.
  */
 final class FaultInjector {
-  /** Separates the draws of the faults of one scenario. */
+  /** Gives each fault of a scenario its own random sequence. */
   private static final long SEED_FACTOR = 1000;
 
   private final ScenarioPlan plan;
@@ -19,7 +19,11 @@
   private final ClientFaults clientFaults;
   private final StoreFaults storeFaults;
 
-  /** Faults run on the executor, which has a single thread. */
+  /**
+   * Creates an injector.
+   *
+   * @param executor a single-threaded executor on which the faults are injected
+   */
   FaultInjector(
       ScenarioPlan plan,
       ScenarioPeers peers,
@@ -34,7 +38,7 @@
     storeFaults = new StoreFaults(peers, timeline);
   }
 
-  /** Schedules all faults, counted from now. */
+  /** Schedules all faults; their start times count from now. */
   void schedule() {
     for (int i = 0; i < plan.faults().size(); i++) {
       ScenarioFault fault = plan.faults().get(i);
--- a/src/main/java/fordridge/emulator/FaultKind.java
+++ b/src/main/java/fordridge/emulator/FaultKind.java
@@ -38,11 +38,11 @@
   ETCD_RESTORE("etcd_restore", Target.STORE),
   ETCD_LEASES("etcd_leases", Target.STORE);
 
-  /** What a fault acts on. */
+  /** The part of the emulator into which a fault is injected. */
   enum Target {
-    /** Single machines, which stay in the fleet. */
+    /** Individual machines, which stay in the fleet. */
     MACHINE,
-    /** Which machines are in the fleet. */
+    /** The fleet: machines leave or join it. */
     FLEET,
     CLIENTS,
     STORE
@@ -75,6 +75,7 @@
         return kind;
       }
     }
-    throw new IllegalArgumentException("no kind of fault is named '" + text + "'");
+    throw new IllegalArgumentException(
+        "unknown fault kind '" + text + "'; docs/emulator.md lists the valid kinds");
   }
 }
--- a/src/main/java/fordridge/emulator/FaultTargets.java
+++ b/src/main/java/fordridge/emulator/FaultTargets.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Draws the machines and clients that a fault hits; the same for the same seed. */
+/** Selects the machines and clients that a fault affects; the same seed gives the same ones. */
 final class FaultTargets {
   private final ScenarioPeers peers;
 
@@ -15,8 +15,9 @@
   }
 
   /**
-   * A share of the machines that the registry knows to be there. If the fault has a scope, those
-   * that share it with the first one drawn come first; the loss of a zone hits exactly those.
+   * Draws the fault's share of the machines that are not gone in the registry. If the fault has a
+   * scope, machines with the same label as the first one drawn are preferred; a zone loss affects
+   * exactly the machines of that group.
    */
   List<EmulatedMachine> machines(ScenarioFault fault, Random random) {
     List<EmulatedMachine> candidates = new ArrayList<>(peers.machines());
@@ -49,7 +50,7 @@
     };
   }
 
-  /** A share of the clients, each drawn by itself. */
+  /** Draws each client independently, with the fault's share as the probability. */
   List<EmulatedClient> clients(ScenarioFault fault, Random random) {
     List<EmulatedClient> targets = new ArrayList<>();
     for (EmulatedClient client : peers.clients()) {
--- a/src/main/java/fordridge/emulator/FaultTimeline.java
+++ b/src/main/java/fordridge/emulator/FaultTimeline.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.concurrent.ScheduledExecutorService;
 
-/** Runs the steps of faults when they are due, on one thread, and records those that fail. */
+/** Runs the steps of faults at their scheduled times on one thread, and records failed steps. */
 final class FaultTimeline {
   private static final String SOURCE = "faults";
 
--- a/src/main/java/fordridge/emulator/FileMachineListWriter.java
+++ b/src/main/java/fordridge/emulator/FileMachineListWriter.java
@@ -7,7 +7,7 @@
 import java.util.Collection;
 import java.util.Locale;
 
-/** Publishes the machine list to a file, by renaming a new one over it. */
+/** Writes the machine list to a file, which is replaced atomically by a rename. */
 final class FileMachineListWriter implements MachineListWriter {
   private final File file;
 
--- a/src/main/java/fordridge/emulator/FleetBuilder.java
+++ b/src/main/java/fordridge/emulator/FleetBuilder.java
@@ -14,9 +14,12 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Builds the machines of a scenario: kinds by their shares, other values drawn from the seed. */
+/**
+ * Builds the machines of a scenario. Kinds are assigned by their shares; other values are drawn
+ * from the scenario's seed.
+ */
 final class FleetBuilder {
-  /** Separates the draws of the machines of one scenario. */
+  /** Gives each machine of a scenario its own random sequence. */
   private static final long SEED_FACTOR = 7919;
 
   private final ScenarioPlan plan;
@@ -29,7 +32,7 @@
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(plan.run().seed());
   }
 
-  /** Builds the machines, the spare ones last; each listens on a loopback port. */
+  /** Builds the machines, spare ones last, and starts each on a free loopback port. */
   List<EmulatedMachine> build(EventLoopGroup loops) throws IOException {
     List<EmulatedMachine> machines = new ArrayList<>();
     KindSequence kinds = new KindSequence();
@@ -50,7 +53,7 @@
     return machines;
   }
 
-  /** Spreads the kinds evenly over the machines, by their shares. */
+  /** Assigns kinds to successive machines by weighted round robin over their shares. */
   private final class KindSequence {
     private final List<MachineKind> kinds = plan.deployment().kinds();
     private final double[] credits = new double[kinds.size()];
--- a/src/main/java/fordridge/emulator/FleetFaults.java
+++ b/src/main/java/fordridge/emulator/FleetFaults.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Random;
 
-/** Faults by which machines leave the fleet and come back, warming up. */
+/** Injects faults in which machines leave the fleet or join it; a joining machine warms up. */
 final class FleetFaults {
-  /** How long the registry takes at most to see that a machine vanished. */
+  /** The longest time until the registry detects that a machine has vanished. */
   private static final Duration VANISH_DETECTION_TIME = Duration.ofSeconds(3);
 
   private static final Duration CRASH_DETECTION_TIME = Duration.ofSeconds(1);
@@ -40,7 +40,12 @@
       case PREEMPT -> drain(targets.machines(fault, random), PREEMPTION_NOTICE, false);
       case DEPLOY -> deploy(fault, random);
       case GROW -> grow(fault);
-      default -> throw new IllegalArgumentException("not a fault of the fleet: " + fault.kind());
+      default ->
+          throw new IllegalArgumentException(
+              "fault kind "
+                  + fault.kind()
+                  + " does not apply to the fleet; valid kinds are VANISH, CRASH, ZONE_LOSS,"
+                  + " MASS_RESTART, DRAIN, PREEMPT, DEPLOY and GROW");
     }
   }
 
@@ -52,7 +57,8 @@
             machine.setVanished(true);
           });
       timeline.runAfter(
-          shorter(downtime, VANISH_DETECTION_TIME), () -> peers.registry().setState(machine, State.GONE));
+          shorter(downtime, VANISH_DETECTION_TIME),
+          () -> peers.registry().setState(machine, State.GONE));
       timeline.runAfter(downtime, () -> restart(machine));
     }
   }
@@ -61,7 +67,8 @@
     for (EmulatedMachine machine : machines) {
       machine.execute(machine::crash);
       timeline.runAfter(
-          shorter(downtime, CRASH_DETECTION_TIME), () -> peers.registry().setState(machine, State.GONE));
+          shorter(downtime, CRASH_DETECTION_TIME),
+          () -> peers.registry().setState(machine, State.GONE));
       timeline.runAfter(downtime, () -> restart(machine));
     }
   }
@@ -73,7 +80,9 @@
         () -> peers.registry().setRestarted(machine, Instant.now().minus(RESTART_DETECTION_TIME)));
   }
 
-  /** The machines drain, go down after the notice, and may come back a while later. */
+  /**
+   * Drains the machines, shuts them down when the notice has passed, and may restart them later.
+   */
   private void drain(List<EmulatedMachine> machines, Duration notice, boolean restarts) {
     for (EmulatedMachine machine : machines) {
       peers.registry().setState(machine, State.DRAINING);
@@ -94,7 +103,10 @@
     }
   }
 
-  /** Drains the machines in batches of the fault's size, a share of the fleet. */
+  /**
+   * Drains the affected machines in batches, spread over the fault's length. The fault's size is
+   * the size of a batch as a share of the fleet.
+   */
   private void deploy(ScenarioFault fault, Random random) {
     List<EmulatedMachine> machines = targets.machines(fault, random);
     int batchSize = Math.max(1, (int) Math.round(fault.size() * peers.machines().size()));
@@ -109,7 +121,7 @@
     }
   }
 
-  /** Spare machines join the fleet, one after another over the fault's length. */
+  /** Adds spare machines to the fleet, one after another over the fault's length. */
   private void grow(ScenarioFault fault) {
     int count = Math.min(peers.spares().size(), fault.sizeAtLeastOne());
     for (int i = 0; i < count; i++) {
--- a/src/main/java/fordridge/emulator/InProcessSchedulers.java
+++ b/src/main/java/fordridge/emulator/InProcessSchedulers.java
@@ -6,7 +6,7 @@
 import fordridge.settings.InvalidSettingsException;
 import java.io.IOException;
 
-/** Schedulers in the emulator's own process. */
+/** Runs the schedulers in the emulator's own process. */
 final class InProcessSchedulers implements SchedulerFleet {
   private final PlacerCommand command;
   private boolean isStopped;
@@ -22,7 +22,8 @@
 
   @Override
   public void beginMeasurement() {
-    // Its own metrics count from its start; the processor time is not told from the emulator's.
+    // Nothing to reset: the metrics count from the schedulers' start, and the CPU time of the
+    // schedulers cannot be told apart from the emulator's.
   }
 
   @Override
--- a/src/main/java/fordridge/emulator/MachineFaults.java
+++ b/src/main/java/fordridge/emulator/MachineFaults.java
@@ -8,12 +8,12 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** Faults of single machines, which stay in the fleet. */
+/** Injects faults into individual machines, which stay in the fleet. */
 final class MachineFaults {
-  /** The least time between the end of a pause and the next one. */
+  /** The shortest time between the end of a pause and the start of the next one. */
   private static final int MIN_PAUSE_GAP_MILLIS = 50;
 
-  /** The value of a fault's subject by which lost answers break the stream. */
+  /** Value of a fault's subject that makes lost responses break the stream as well. */
   private static final String RESET = "reset";
 
   private final FaultTargets targets;
@@ -37,7 +37,11 @@
       case CUT_MACHINES -> applyOnce(fault, random, EmulatedMachine::cutAll);
       case FLUSH -> applyOnce(fault, random, machine -> flush(machine.model()));
       case PAUSES -> pauses(fault, random);
-      default -> throw new IllegalArgumentException("not a fault of machines: " + fault.kind());
+      default ->
+          throw new IllegalArgumentException(
+              "fault kind "
+                  + fault.kind()
+                  + " does not apply to single machines; FaultKind lists the target of each kind");
     }
   }
 
@@ -78,7 +82,12 @@
               random,
               machine -> machine.modelFaults().setThrottle(throttle(fault)),
               machine -> machine.modelFaults().clearThrottle());
-      default -> throw new IllegalArgumentException("not a fault of the model: " + fault.kind());
+      default ->
+          throw new IllegalArgumentException(
+              "fault kind "
+                  + fault.kind()
+                  + " does not apply to the machine model; valid kinds are SLOW, FAST_ERRORS,"
+                  + " NEIGHBOUR, HOT_KEY and THROTTLE");
     }
   }
 
@@ -104,9 +113,15 @@
               fault,
               random,
               machine ->
-                  machine.socketFaults().setResponseLoss(fault.size(), fault.subject().equals(RESET)),
+                  machine
+                      .socketFaults()
+                      .setResponseLoss(fault.size(), fault.subject().equals(RESET)),
               machine -> machine.socketFaults().setResponseLoss(0, false));
-      default -> throw new IllegalArgumentException("not a fault of sockets: " + fault.kind());
+      default ->
+          throw new IllegalArgumentException(
+              "fault kind "
+                  + fault.kind()
+                  + " does not apply to sockets; valid kinds are HANG, MUTE and ANSWER_LOST");
     }
   }
 
@@ -132,10 +147,14 @@
     List<EmulatedMachine> machines = targets.machines(fault, random);
     machines.forEach(machine -> machine.execute(() -> apply.accept(machine)));
     timeline.runAfter(
-        fault.length(), () -> machines.forEach(machine -> machine.execute(() -> revert.accept(machine))));
+        fault.length(),
+        () -> machines.forEach(machine -> machine.execute(() -> revert.accept(machine))));
   }
 
-  /** Throttles the named tenant or priority class; the first tenant if none is named. */
+  /**
+   * Creates a throttle for the tenant or priority class that the fault's subject names; for the
+   * first tenant if the subject is empty.
+   */
   private ActiveFaults.Throttle throttle(ScenarioFault fault) {
     String subject = fault.subject();
     boolean isTenant =
@@ -152,7 +171,10 @@
         fault.extraMillis());
   }
 
-  /** The machines stand still for the fault's size in ms, every {@code extra} ms. */
+  /**
+   * Pauses the affected machines repeatedly during the fault's length: for {@code size} ms at the
+   * start of each period of {@code extra} ms.
+   */
   private void pauses(ScenarioFault fault, Random random) {
     long endNanos = System.nanoTime() + fault.length().toNanos();
     targets.machines(fault, random).forEach(machine -> pause(machine, fault, endNanos));
--- a/src/main/java/fordridge/emulator/MachineListWriter.java
+++ b/src/main/java/fordridge/emulator/MachineListWriter.java
@@ -3,15 +3,14 @@
 import java.io.IOException;
 import java.util.Collection;
 
-/** Publishes the machine list where the schedulers read it. */
+/** Writes the machine list to the place from which the schedulers read it. */
 interface MachineListWriter {
   /**
-   * Publishes a list.
+   * Writes a machine list.
    *
-   * @param beforeVisible to be called before the schedulers can see it
-   * @param afterVisible to be called once they can
+   * @param beforeVisible called before the schedulers can read the new list
+   * @param afterVisible called once the schedulers can read it
    */
-  void write(
-      Collection<RegisteredMachine> machines, Runnable beforeVisible, Runnable afterVisible)
+  void write(Collection<RegisteredMachine> machines, Runnable beforeVisible, Runnable afterVisible)
       throws IOException;
 }
--- a/src/main/java/fordridge/emulator/MachineMessages.java
+++ b/src/main/java/fordridge/emulator/MachineMessages.java
@@ -21,7 +21,7 @@
 import java.util.Collection;
 import java.util.concurrent.TimeUnit;
 
-/** Converts between the wire's messages and the machine's model. */
+/** Converts between wire messages and the types of the machine model. */
 final class MachineMessages {
   private MachineMessages() {}
 
@@ -29,7 +29,7 @@
     return new AttemptId(scheduler, name.getVm(), name.getNumber());
   }
 
-  /** An offer that was read at a time of the machine. */
+  /** Creates a VM from an offer that was read at the given time of the machine. */
   static HostedVm offeredVm(String scheduler, Offer offer, Duration now) {
     return new HostedVm(
         new VmOffer(
@@ -80,7 +80,9 @@
   }
 
   static FromMachine accepted(HostedVm vm) {
-    return FromMachine.newBuilder().setAccepted(Accepted.newBuilder().setClaim(claimName(vm))).build();
+    return FromMachine.newBuilder()
+        .setAccepted(Accepted.newBuilder().setClaim(claimName(vm)))
+        .build();
   }
 
   static FromMachine refused(HostedVm vm, RefusalReason reason, MachineModel model) {
--- a/src/main/java/fordridge/emulator/MachineServer.java
+++ b/src/main/java/fordridge/emulator/MachineServer.java
@@ -16,8 +16,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The listening socket of an emulated machine on loopback, with its connections. It keeps its port
- * over restarts. To be used on the machine's event loop, {@link #start} aside.
+ * The gRPC server of an emulated machine on loopback: its listening socket and its connections. It
+ * keeps its port across restarts. Used on the machine's event loop, except for {@link #start} and
+ * {@link #restart}, which block.
  */
 final class MachineServer {
   private static final int MIN_KEEPALIVE_INTERVAL_MILLIS = 50;
@@ -38,7 +39,7 @@
     this.service = service;
   }
 
-  /** Begins to listen. Waits for the event loop, so it must not be called on it. */
+  /** Starts to listen. Waits for the event loop, so it must not be called on it. */
   void start() throws IOException {
     Server started =
         NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
@@ -55,7 +56,7 @@
     port = started.getPort();
   }
 
-  /** Remembers itself and the connections that it accepts. */
+  /** A listening socket that keeps track of itself and of the connections that it accepts. */
   private final class ListeningChannel extends NioServerSocketChannel {
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
@@ -71,21 +72,21 @@
     return port;
   }
 
-  /** Reads from connections and takes new ones, or stops doing so. */
+  /** Starts or stops reading from the connections and accepting new ones. */
   void setReading(boolean on) {
     connections.removeIf(connection -> !connection.isOpen());
     connections.forEach(connection -> connection.config().setAutoRead(on));
     listener.ifPresent(channel -> channel.config().setAutoRead(on));
   }
 
-  /** Whether it was killed since this was last asked: it is to be started again then. */
+  /** Returns whether the server was killed since the last call; the caller then restarts it. */
   boolean getAndClearKilled() {
     boolean wasKilled = isKilled;
     isKilled = false;
     return wasKilled;
   }
 
-  /** Stops listening and closes all connections without a word. */
+  /** Stops listening and closes all connections without ending their streams first. */
   void kill() {
     isKilled = true;
     server.shutdownNow();
@@ -95,13 +96,13 @@
     connections.clear();
   }
 
-  /** Forgets the listening socket of a server that was killed while it wasn't reading. */
+  /** Forgets the listening socket of a server that was killed while reading was stopped. */
   void forgetListener() {
     listener = Optional.empty();
   }
 
   /**
-   * Listens again, once the killed server has ended. Blocks for seconds at worst.
+   * Listens again on the same port once the killed server has terminated. May block for seconds.
    *
    * @throws IOException if the port stays in use
    */
@@ -113,7 +114,9 @@
         return;
       } catch (IOException e) {
         if (attempt == MAX_BIND_ATTEMPTS) {
-          throw new IOException("port " + port + " is in use", e);
+          throw new IOException(
+              "port " + port + " is still in use after " + MAX_BIND_ATTEMPTS + " attempts to bind",
+              e);
         }
         Thread.sleep(BIND_RETRY_MILLIS);
       }
--- a/src/main/java/fordridge/emulator/MachineService.java
+++ b/src/main/java/fordridge/emulator/MachineService.java
@@ -8,17 +8,19 @@
 import io.grpc.stub.StreamObserver;
 import java.util.Optional;
 
-/** Serves the schedulers' streams of one machine, on its event loop. */
+/**
+ * The gRPC service of one machine for the schedulers' streams. Runs on the machine's event loop.
+ */
 final class MachineService extends MachineGrpc.MachineImplBase {
-  /** Hears what arrives on the streams. */
+  /** Receives the events of the streams. */
   interface Handler {
-    /** A scheduler opened its stream. */
+    /** A scheduler opened its stream with a greeting. */
     void greeted(String scheduler, ServerCallStreamObserver<FromMachine> stream);
 
-    /** A further message of a scheduler that has greeted. */
+    /** A message other than the greeting arrived from a scheduler. */
     void received(String scheduler, ToMachine message);
 
-    /** The stream of a scheduler that has greeted is closed. */
+    /** The stream of a scheduler closed after the greeting. */
     void closed(String scheduler, ServerCallStreamObserver<FromMachine> stream);
   }
 
@@ -32,7 +34,7 @@
   public StreamObserver<ToMachine> serve(StreamObserver<FromMachine> responses) {
     ServerCallStreamObserver<FromMachine> stream =
         (ServerCallStreamObserver<FromMachine>) responses;
-    // With a handler set, writing to a cancelled stream does not throw.
+    // gRPC throws on a write to a cancelled stream unless a cancel handler is set.
     stream.setOnCancelHandler(() -> {});
     return new SchedulerStream(stream);
   }
@@ -55,7 +57,7 @@
       } else {
         stream.onError(
             Status.INVALID_ARGUMENT
-                .withDescription("the first message must be greeting")
+                .withDescription("the first message on a machine's stream must be greeting")
                 .asRuntimeException());
       }
     }
--- a/src/main/java/fordridge/emulator/MvccStore.java
+++ b/src/main/java/fordridge/emulator/MvccStore.java
@@ -16,17 +16,17 @@
 import java.util.TreeSet;
 
 /**
- * A multi-version store in memory: keys with all their revisions since the last compaction. It
- * knows nothing of clients or watches. Not thread-safe.
+ * A multi-version key-value store in memory that keeps all versions since the last compaction. It
+ * is independent of clients and watches. Not thread-safe.
  */
 final class MvccStore {
-  /** A revision that is compacted, or yet to come. */
+  /** Signals a request for a revision that is compacted or in the future. */
   static final class RevisionUnavailableException extends Exception {
     private static final long serialVersionUID = 1L;
     private final boolean isCompacted;
 
     RevisionUnavailableException(long revision, boolean isCompacted) {
-      super("revision " + revision + (isCompacted ? " is compacted" : " is yet to come"));
+      super("revision " + revision + (isCompacted ? " is compacted" : " is a future revision"));
       this.isCompacted = isCompacted;
     }
 
@@ -38,7 +38,7 @@
   private static final Comparator<ByteString> KEY_ORDER =
       ByteString.unsignedLexicographicalComparator();
 
-  /** For each key its versions by revision; one of version 0 says that the key was deleted. */
+  /** The versions of each key by revision. An entry with version 0 marks a deletion. */
   private final NavigableMap<ByteString, NavigableMap<Long, KeyValue>> versionsByKey =
       new TreeMap<>(KEY_ORDER);
 
@@ -60,10 +60,11 @@
   // Reading.
 
   /**
-   * The entries of a range in the order of their keys.
+   * Returns the entries of a range, sorted by key.
    *
-   * @param end the key after the range; empty for the one key, a zero byte for all from there on
-   * @param atRevision 0 for the present one
+   * @param end the exclusive end of the range; empty for the single key, a zero byte for all keys
+   *     from the first one on
+   * @param atRevision the revision to read; 0 for the latest one
    */
   List<KeyValue> range(ByteString key, ByteString end, long atRevision)
       throws RevisionUnavailableException {
@@ -105,7 +106,7 @@
         .filter(MvccStore::isPresent);
   }
 
-  /** The events from a revision on, a list for each revision. */
+  /** Returns the events since a revision (inclusive), one list for each revision. */
   List<List<Event>> eventsSince(long firstRevision) throws RevisionUnavailableException {
     if (firstRevision <= compactedRevision) {
       throw new RevisionUnavailableException(firstRevision, true);
@@ -113,7 +114,7 @@
     return new ArrayList<>(history.tailMap(firstRevision, true).values());
   }
 
-  /** Whether a transaction's comparison holds. */
+  /** Returns whether the comparison of a transaction is satisfied. */
   boolean isSatisfied(Compare comparison) {
     int order = compare(comparison, latest(comparison.getKey()));
     return switch (comparison.getResult()) {
@@ -124,7 +125,7 @@
     };
   }
 
-  /** A key that is not there has zeros, and a value less than any. */
+  /** Compares an entry; a missing key has zero for each number, and a value below all others. */
   private static int compare(Compare comparison, Optional<KeyValue> entry) {
     KeyValue present = entry.orElse(KeyValue.getDefaultInstance());
     return switch (comparison.getTarget()) {
@@ -139,12 +140,12 @@
 
   // Writing.
 
-  /** Begins a change; all that is written until {@link #commit} has one revision. */
+  /** Begins a change; all writes until {@link #commit} get the same revision. */
   void begin() {
     pendingEvents = new ArrayList<>();
   }
 
-  /** Ends the change; its events, none if nothing was written. */
+  /** Commits the change and returns its events; none if nothing was written. */
   List<Event> commit() {
     List<Event> events = pendingEvents;
     pendingEvents = new ArrayList<>();
@@ -155,7 +156,7 @@
     return events;
   }
 
-  /** Puts a value; the entry before, null if there was none. */
+  /** Puts a value and returns the previous entry; null if there was none. */
   KeyValue put(ByteString key, ByteString value, long lease) {
     KeyValue old = latest(key).orElse(null);
     KeyValue entry =
@@ -174,7 +175,7 @@
     return old;
   }
 
-  /** Deletes a range; the entries that were there. */
+  /** Deletes a range and returns the deleted entries. */
   List<KeyValue> delete(ByteString key, ByteString end) {
     List<KeyValue> deleted = new ArrayList<>();
     for (ByteString deletedKey : new ArrayList<>(versionsIn(key, end).keySet())) {
@@ -203,7 +204,7 @@
     pendingEvents.add(event.build());
   }
 
-  /** The keys that go with a lease. */
+  /** Returns the keys attached to a lease. */
   Set<ByteString> keysWithLease(long lease) {
     return keysByLease.getOrDefault(lease, Set.of());
   }
@@ -212,7 +213,7 @@
     keysByLease.remove(lease);
   }
 
-  /** Forgets what was replaced or deleted up to a revision. */
+  /** Discards the versions that were replaced or deleted up to a revision, and the history. */
   void compact(long atRevision) throws RevisionUnavailableException {
     if (atRevision <= compactedRevision || atRevision > revision) {
       throw new RevisionUnavailableException(atRevision, atRevision <= compactedRevision);
@@ -228,7 +229,8 @@
             });
   }
 
-  private static void removeReplacedVersions(NavigableMap<Long, KeyValue> versions, long atRevision) {
+  private static void removeReplacedVersions(
+      NavigableMap<Long, KeyValue> versions, long atRevision) {
     Long last = versions.floorKey(atRevision);
     if (last == null) {
       return;
@@ -239,7 +241,7 @@
     }
   }
 
-  /** As after a restore from an old backup: the same keys, a lower revision, no history. */
+  /** Emulates a restore from a backup: the entries stay, at the given revision, without history. */
   void restore(long atRevision) {
     List<KeyValue> present = new ArrayList<>();
     for (NavigableMap<Long, KeyValue> versions : versionsByKey.values()) {
--- a/src/main/java/fordridge/emulator/RandomConstraints.java
+++ b/src/main/java/fordridge/emulator/RandomConstraints.java
@@ -7,11 +7,11 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Generates sets of tenants' constraints by number: the same seed and number give the same set.
- * Some can be met by no fleet.
+ * Generates numbered sets of tenants' constraints; the same seed and number give the same set. Some
+ * sets are unsatisfiable.
  */
 final class RandomConstraints {
-  /** Separates the draws of the sets of one scenario. */
+  /** Gives each set of a scenario its own random sequence. */
   private static final long SEED_FACTOR = 1_000_003;
 
   private static final int MIN_CONSTRAINTS = 2;
@@ -43,7 +43,7 @@
     schedulers = plan.deployment().totalSchedulers();
   }
 
-  /** The text of the set with this number. */
+  /** Returns the text of the set with this number. */
   String generate(int number) {
     UniformRandomProvider random =
         RandomSource.XO_RO_SHI_RO_128_PP.create(seed * SEED_FACTOR + number);
--- a/src/main/java/fordridge/emulator/RegisteredMachine.java
+++ b/src/main/java/fordridge/emulator/RegisteredMachine.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * What the registry knows of a machine. Immutable.
+ * A machine's entry in the emulated registry. Immutable.
  *
- * @param startedAt when it came up, if the registry says so
+ * @param startedAt when the machine started, if the registry publishes that
  */
 record RegisteredMachine(
     EmulatedMachine machine,
--- a/src/main/java/fordridge/emulator/RequestedVm.java
+++ b/src/main/java/fordridge/emulator/RequestedVm.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A VM as its client sees it, over all the times that it is requested. Times are microseconds of
- * the recording.
+ * A VM from its client's point of view, across all requests for it. Times are in microseconds of
+ * the recording's clock.
  */
 final class RequestedVm {
-  /** The client's own name for it, the same over all requests. */
+  /** The client's name for the VM, the same in all requests. */
   final String workload;
 
   final ServiceProfile service;
@@ -26,7 +26,7 @@
     remainingLifeUs = lifeUs;
   }
 
-  /** It is requested once more, under a new name. */
+  /** Starts a further request, with a new name and deadline. */
   void markRequested(long nowUs) {
     requestCount++;
     requestName = workload + "." + requestCount;
@@ -37,7 +37,7 @@
     return service.priorityClass().startDeadline().toNanos();
   }
 
-  /** Its name in the present request. */
+  /** The name of the VM in the current request. */
   String requestName() {
     return requestName;
   }
@@ -54,7 +54,7 @@
     return remainingLifeUs;
   }
 
-  /** It runs; true for the first time. */
+  /** Marks the VM as running; returns true for the first time. */
   boolean markRunning(long nowUs) {
     runningSinceUs = nowUs;
     boolean isFirst = !hasRun;
@@ -70,7 +70,7 @@
     remainingLifeUs -= nowUs - runningSinceUs;
   }
 
-  /** Whether a lost start does no harm, so that it may be requested again. */
+  /** Whether a second run of the VM does no harm, so that it may be requested again. */
   boolean isIdempotent() {
     return service.priorityClass().isIdempotent();
   }
--- a/src/main/java/fordridge/emulator/Scenario.java
+++ b/src/main/java/fordridge/emulator/Scenario.java
@@ -24,7 +24,7 @@
 
 /**
  * Runs real schedulers against emulated machines and clients on loopback while faults are injected,
- * then checks the invariants from the recording.
+ * then checks the invariants on the recording.
  */
 public final class Scenario {
   /** The source of the emulator's own events in a recording. */
@@ -34,21 +34,21 @@
   private static final Duration PROGRESS_INTERVAL = Duration.ofSeconds(5);
   private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
-  /** After the last request the schedulers run on for this long at least. */
+  /** The shortest time for which the schedulers keep running after the last request. */
   private static final Duration MIN_SETTLE_TIME = Duration.ofSeconds(4);
 
-  /** What was written before the schedulers stopped arrives within this time. */
+  /** Time for messages that were written before the schedulers stopped to arrive. */
   private static final Duration LAST_ARRIVALS_WAIT = Duration.ofMillis(100);
 
   /**
    * The result of a scenario.
    *
-   * @param table what the clients got, some lines
+   * @param table the outcomes of the clients' requests, a table of several lines
    * @param inTimeShare the share of VMs that ran within their start latency objective
-   * @param p50Millis median time from the first request of a VM until it ran
+   * @param p50Millis median time from the first request for a VM until it ran
    * @param p99Millis the same, 99th percentile
    * @param requested number of VMs that were requested
-   * @param costs what the schedulers cost, some lines
+   * @param costs the schedulers' resource usage, possibly several lines
    */
   public record Outcome(
       String table,
@@ -73,9 +73,9 @@
   /**
    * Reads a scenario and runs it.
    *
-   * @param overrides keys of the file that the command line replaces
-   * @param folder the recording, configuration and logs are written there
-   * @param out progress is printed there
+   * @param overrides settings by key that replace those of the file
+   * @param folder where the recording, configuration and logs are written
+   * @param out where progress is printed
    */
   public static Outcome run(File file, Map<String, ?> overrides, File folder, PrintStream out)
       throws InvalidSettingsException, IOException, InterruptedException {
@@ -108,7 +108,12 @@
     if (!plan.registry().isInEtcd()) {
       File listFile = new File(folder, "machines.conf");
       return runWithRegistry(
-          resources, recorder, fleet, config, Optional.empty(), new FileMachineListWriter(listFile));
+          resources,
+          recorder,
+          fleet,
+          config,
+          Optional.empty(),
+          new FileMachineListWriter(listFile));
     }
     try (EmulatedEtcd etcd = new EmulatedEtcd(0, ETCD_PROGRESS_INTERVAL_MILLIS)) {
       String prefix = plan.deployment().etcd().prefix();
@@ -191,7 +196,7 @@
     return TimeUnit.NANOSECONDS.toMicros(duration.toNanos());
   }
 
-  /** The schedulers' configuration, with the constraints in force from the start. */
+  /** Returns the schedulers' configuration, with the constraints that apply from the start. */
   private Config publishConstraints(WireRecorder recorder) throws IOException {
     String text = plan.constraints().text();
     if (text.isBlank()) {
@@ -234,7 +239,10 @@
     new StallRecorder(resources.faultExecutor(), recorder).start();
   }
 
-  /** Requests VMs until the end, waits for the last responses; the schedulers' costs. */
+  /**
+   * Requests VMs for the length of the run and waits for the last responses. Returns the
+   * schedulers' resource usage.
+   */
   private String applyLoad(
       WireRecorder recorder, SchedulerFleet schedulers, List<EmulatedClient> clients)
       throws InterruptedException {
@@ -256,14 +264,20 @@
     while (true) {
       long elapsedSeconds = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - startNanos);
       int pending = clients.stream().mapToInt(EmulatedClient::pendingCount).sum();
-      boolean isSettled = pending == 0 && elapsedSeconds >= lengthSeconds + MIN_SETTLE_TIME.toSeconds();
+      boolean isSettled =
+          pending == 0 && elapsedSeconds >= lengthSeconds + MIN_SETTLE_TIME.toSeconds();
       if (elapsedSeconds >= totalSeconds || isSettled) {
         return;
       }
-      if (elapsedSeconds / intervalSeconds != lastElapsedSeconds / intervalSeconds && elapsedSeconds > 0) {
+      if (elapsedSeconds / intervalSeconds != lastElapsedSeconds / intervalSeconds
+          && elapsedSeconds > 0) {
         out.printf(
             "%3d of %d s: %d VMs requested, %d pending, %.1f%% in time%n",
-            elapsedSeconds, totalSeconds, outcomes.requested(), pending, 100 * outcomes.inTimeShare());
+            elapsedSeconds,
+            totalSeconds,
+            outcomes.requested(),
+            pending,
+            100 * outcomes.inTimeShare());
       }
       lastElapsedSeconds = elapsedSeconds;
       Thread.sleep(POLL_INTERVAL.toMillis());
--- a/src/main/java/fordridge/emulator/ScenarioFault.java
+++ b/src/main/java/fordridge/emulator/ScenarioFault.java
@@ -4,12 +4,13 @@
 import java.util.Locale;
 
 /**
- * A fault of a scenario. What size, extra and subject mean depends on the kind: see
+ * A fault that a scenario injects. The meaning of size, extra and subject depends on the kind; see
  * docs/emulator.md.
  *
- * @param at when it begins, from the start of the scenario
- * @param share the share of the machines or clients that it hits
- * @param scope what the machines that it hits have in common
+ * @param at when the fault begins, from the start of the scenario
+ * @param length how long it lasts
+ * @param share the share of the machines or clients that it affects
+ * @param scope the label that the affected machines have in common
  */
 record ScenarioFault(
     FaultKind kind,
@@ -21,7 +22,7 @@
     String subject,
     Scope scope) {
 
-  /** What the machines that a fault hits have in common. */
+  /** The label that the machines affected by a fault have in common. */
   enum Scope {
     ANY,
     ZONE,
--- a/src/main/java/fordridge/emulator/ScenarioPeers.java
+++ b/src/main/java/fordridge/emulator/ScenarioPeers.java
@@ -6,8 +6,9 @@
 /**
  * The emulated peers of a scenario.
  *
- * @param machines that are in the fleet; spare machines move here as they come up
- * @param etcd if the machine list is published there
+ * @param machines the machines of the fleet; spare machines are added when they join
+ * @param spares machines that can join the fleet later
+ * @param etcd the emulated etcd, if the machine list is published there
  */
 record ScenarioPeers(
     List<EmulatedMachine> machines,
--- a/src/main/java/fordridge/emulator/ScenarioPlan.java
+++ b/src/main/java/fordridge/emulator/ScenarioPlan.java
@@ -20,11 +20,12 @@
 import java.util.Map;
 
 /**
- * A scenario as read from HOCON: the run, the fleet, the clients, the registry and the faults. All
- * of it is checked before anything starts.
+ * The settings of a scenario, read from HOCON: the run, the fleet, the clients, the registry and
+ * the faults. All settings are validated before anything starts.
  *
- * @param deploymentConfig the deployment's part of the file, for the schedulers' own
- * @param deployment the same, read
+ * @param deploymentConfig the deployment section of the file, from which the schedulers'
+ *     configuration file is written
+ * @param deployment the same section as parsed settings
  */
 record ScenarioPlan(
     Run run,
@@ -42,20 +43,25 @@
   private static final double DEFAULT_USE_SIGMA = 0.5;
 
   /**
-   * The run as a whole.
+   * The settings of the run as a whole.
    *
-   * @param length while VMs are requested
+   * @param length how long VMs are requested
    * @param maxSettleTime the longest wait for the last responses after that
-   * @param usesSeparateProcess whether the schedulers run in a process of their own
+   * @param usesSeparateProcess whether the schedulers run in a separate process
    */
-  record Run(String name, long seed, Duration length, Duration maxSettleTime, boolean usesSeparateProcess) {}
+  record Run(
+      String name,
+      long seed,
+      Duration length,
+      Duration maxSettleTime,
+      boolean usesSeparateProcess) {}
 
   /**
-   * The machines.
+   * The settings of the machines.
    *
-   * @param spares machines that come up later, by a fault
-   * @param cellSize machines in a cell
-   * @param kindShares the share of each kind of machine
+   * @param spares number of machines that a fault can add later
+   * @param cellSize number of machines in a cell
+   * @param kindShares the relative share of each machine kind
    * @param usageProfiles how VMs use their resources, by priority class
    */
   record Fleet(
@@ -67,17 +73,17 @@
       Map<String, Double> kindShares,
       Map<String, UsageProfile> usageProfiles) {}
 
-  /** What all machines have in common, and the ranges that their own values are drawn from. */
+  /** Settings of all machines, and the ranges from which the values of each one are drawn. */
   record MachineTemplate(
       AdmissionTemplate admission,
       StartUpTemplate startUp,
       Duration sampleInterval,
       DrainPolicy drainPolicy) {}
 
-  /** How offers are examined. */
+  /** How a machine examines offers. */
   record AdmissionTemplate(UniformRange timeMillis, int queueLimit, boolean preempts) {}
 
-  /** How VMs start. */
+  /** How a machine starts VMs. */
   record StartUpTemplate(
       UniformRange workMillis,
       UniformRange speed,
@@ -86,12 +92,12 @@
       double uncachedFactor) {}
 
   /**
-   * The clients and what they request.
+   * The settings of the clients and their requests.
    *
-   * @param ratePerSecond requests for VMs of all clients
-   * @param meanBatchSize mean number of VMs that are requested together
-   * @param maxAttempts how often a client requests a VM at most
-   * @param priorityClassShares the share of services in each priority class
+   * @param ratePerSecond mean number of VMs that all clients together request per second
+   * @param meanBatchSize mean number of VMs that a client requests together
+   * @param maxAttempts how many times a client requests a VM at most
+   * @param priorityClassShares the relative share of services in each priority class
    */
   record Clients(
       double ratePerSecond,
@@ -103,28 +109,29 @@
       Map<String, Double> priorityClassShares,
       List<Shape> shapes) {}
 
-  /** What a VM requests. */
+  /** The resources that a VM requests. */
   record Shape(double cores, double memory) {}
 
   /**
-   * The registry that publishes the machine list.
+   * The settings of the registry that publishes the machine list.
    *
-   * @param delay how old the state is that it publishes
+   * @param isInEtcd whether the list is published in etcd rather than in a file
+   * @param delay the age of the published state
    */
   record Registry(boolean isInEtcd, Duration interval, Duration delay) {}
 
   /**
-   * Tenants' constraints.
+   * The tenants' constraints.
    *
-   * @param text in force from the start; empty for none
-   * @param generatedSets how many generated sets follow each other through the store
+   * @param text the constraints that apply from the start; empty for none
+   * @param generatedSets number of generated sets that are published in etcd one after another
    */
   record Constraints(String text, int generatedSets, Duration setInterval) {}
 
   /**
-   * Reads and checks a scenario.
+   * Reads and validates a scenario.
    *
-   * @param overrides keys of the file that the command line replaces
+   * @param overrides settings by key that replace those of the file
    */
   static ScenarioPlan read(File file, Map<String, ?> overrides) throws InvalidSettingsException {
     Config scenario =
--- a/src/main/java/fordridge/emulator/ScenarioResources.java
+++ b/src/main/java/fordridge/emulator/ScenarioResources.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** The threads of a scenario. */
+/** The event loops and executors of a scenario. */
 final class ScenarioResources implements AutoCloseable {
   private static final int MAX_MACHINE_LOOPS = 4;
   private static final int CLIENT_LOOPS = 2;
@@ -28,7 +28,7 @@
     return clientLoops;
   }
 
-  /** One thread, for faults and for other work at set times. */
+  /** A single-threaded executor for faults and other scheduled work. */
   ScheduledExecutorService faultExecutor() {
     return faultExecutor;
   }
--- a/src/main/java/fordridge/emulator/SchedulerFleet.java
+++ b/src/main/java/fordridge/emulator/SchedulerFleet.java
@@ -1,20 +1,25 @@
 package fordridge.emulator;
 
-/** The real schedulers that a scenario runs against. */
+/** The real schedulers that a scenario tests. */
 interface SchedulerFleet extends AutoCloseable {
-  /** The loopback port on which a scheduler, counted from 0, serves its client. */
+  /** Returns the loopback port on which a scheduler serves its client; schedulers count from 0. */
   int port(int scheduler);
 
-  /** Costs are counted from now on. */
+  /** Starts to measure resource usage. */
   void beginMeasurement();
 
-  /** What the schedulers cost over so many seconds since the measurement began; some lines. */
+  /**
+   * Describes the schedulers' resource usage since {@link #beginMeasurement}, possibly in several
+   * lines.
+   *
+   * @param seconds the time since then
+   */
   String resourceUsage(double seconds);
 
-  /** Stops the schedulers; true if all of them answered what was pending. */
+  /** Stops the schedulers; returns whether all of them responded to all pending requests. */
   boolean stop() throws InterruptedException;
 
-  /** Stops them if they still run; an interrupt ends the wait. */
+  /** Stops the schedulers if they still run; an interrupt ends the wait. */
   @Override
   void close();
 }
--- a/src/main/java/fordridge/emulator/SchedulerProcess.java
+++ b/src/main/java/fordridge/emulator/SchedulerProcess.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
 
-/** Schedulers as users run them: in a process started from the same classes. */
+/** Runs the schedulers as in production: in a separate process, started from the same classes. */
 final class SchedulerProcess implements SchedulerFleet {
   private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
   private static final Duration START_POLL_INTERVAL = Duration.ofMillis(50);
@@ -30,9 +30,9 @@
   private double cpuSecondsBefore;
 
   /**
-   * Starts the process and waits until it serves.
+   * Starts the process and waits until it serves clients.
    *
-   * @param folder has placer.conf; logs and ports are written there
+   * @param folder contains placer.conf; logs and the file of ports are written there
    */
   SchedulerProcess(File folder) throws IOException, InterruptedException {
     this.folder = folder;
@@ -73,7 +73,11 @@
     while (!portsFile.exists()) {
       if (!process.isAlive() || System.nanoTime() > deadlineNanos) {
         throw new IOException(
-            "the schedulers did not start: "
+            "the schedulers did not start: the process exited or did not write "
+                + portsFile
+                + " within "
+                + START_TIMEOUT
+                + "; its log: "
                 + Files.readString(new File(folder, "placer.log").toPath()));
       }
       Thread.sleep(START_POLL_INTERVAL.toMillis());
--- a/src/main/java/fordridge/emulator/SchedulerStreams.java
+++ b/src/main/java/fordridge/emulator/SchedulerStreams.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The schedulers' streams to a machine, by scheduler. To be used on the machine's event loop. */
+/** The open streams of the schedulers to a machine. Confined to the machine's event loop. */
 final class SchedulerStreams {
   private final String machine;
   private final WireRecorder recorder;
@@ -22,7 +22,7 @@
     this.recorder = recorder;
   }
 
-  /** A stream replaces the scheduler's earlier one. */
+  /** Registers a stream, which replaces the scheduler's earlier one. */
   void opened(String scheduler, ServerCallStreamObserver<FromMachine> stream) {
     byScheduler.put(scheduler, stream);
   }
@@ -39,7 +39,7 @@
     return Optional.ofNullable(byScheduler.get(scheduler));
   }
 
-  /** Breaks a scheduler's stream, if it has one. */
+  /** Breaks the stream of a scheduler, if one is open. */
   void cut(String scheduler) {
     ServerCallStreamObserver<FromMachine> stream = byScheduler.remove(scheduler);
     if (stream != null) {
@@ -52,7 +52,7 @@
     List.copyOf(byScheduler.keySet()).forEach(this::cut);
   }
 
-  /** Forgets the streams; their connections break. */
+  /** Forgets all streams without ending them, for use when their connections are closed. */
   void forgetAll() {
     byScheduler.clear();
   }
--- a/src/main/java/fordridge/emulator/ServiceProfile.java
+++ b/src/main/java/fordridge/emulator/ServiceProfile.java
@@ -3,10 +3,11 @@
 import fordridge.settings.PriorityClassSettings;
 
 /**
- * A service and what its VMs request.
+ * A service and the properties of its VMs.
  *
  * @param number identifies the service
- * @param meanLifeSeconds of its VMs
+ * @param shape the resources that each VM requests
+ * @param meanLifeSeconds mean run time of the VMs
  */
 record ServiceProfile(
     long number,
--- a/src/main/java/fordridge/emulator/SocketFaults.java
+++ b/src/main/java/fordridge/emulator/SocketFaults.java
@@ -3,9 +3,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** The faults in force at a machine's socket. To be used on the machine's event loop. */
+/** The active faults at a machine's socket. Confined to the machine's event loop. */
 final class SocketFaults {
-  /** Separates the draws at the socket from those of the model. */
+  /** Gives the socket faults another random sequence than the model, which uses the same seed. */
   private static final long SEED_MASK = 0x5eed;
 
   private final UniformRandomProvider random;
@@ -22,7 +22,10 @@
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed ^ SEED_MASK);
   }
 
-  /** It neither reads nor writes, and takes no connections; nothing is reset. */
+  /**
+   * Starts or stops a fault in which the machine neither reads nor writes and accepts no
+   * connections, while its open connections are not reset.
+   */
   void setVanished(boolean on) {
     isVanished = on;
     isHung = on;
@@ -32,7 +35,7 @@
     return isVanished;
   }
 
-  /** It takes work and writes nothing. */
+  /** Starts or stops a fault in which the machine accepts messages but sends nothing. */
   void setHung(boolean on) {
     isHung = on;
   }
@@ -41,7 +44,7 @@
     return isHung;
   }
 
-  /** It takes connections and never speaks. */
+  /** Starts or stops a fault in which the machine accepts streams but sends nothing on them. */
   void setMute(boolean on) {
     isMute = on;
   }
@@ -50,13 +53,17 @@
     return isMute;
   }
 
-  /** Answers are lost with this probability; with {@code reset} the stream breaks as well. */
+  /**
+   * Loses responses with this probability.
+   *
+   * @param resetStream whether a lost response breaks the stream as well
+   */
   void setResponseLoss(double probability, boolean resetStream) {
     lossProbability = probability;
     resetsOnLoss = resetStream;
   }
 
-  /** Draws whether the next answer is lost. */
+  /** Draws whether the next response is lost. */
   boolean drawLoss() {
     return random.nextDouble() < lossProbability;
   }
@@ -65,7 +72,12 @@
     return resetsOnLoss;
   }
 
-  /** Breaks streams at a point, for offers of a priority class; of any if it is empty. */
+  /**
+   * Breaks streams at a point of the message exchange.
+   *
+   * @param priorityClass of the offers at which streams break; empty for any
+   * @param times how many times a stream is broken
+   */
   void cutAt(CutPoint point, String priorityClass, int times) {
     cutPoint = point;
     cutPriorityClass = priorityClass;
@@ -76,12 +88,18 @@
     cutAt(CutPoint.NONE, "", 0);
   }
 
-  /** Whether the stream breaks at a point that no priority class belongs to; counts it. */
+  /**
+   * Returns whether the stream breaks at a point without a priority class, and uses up one of the
+   * remaining breaks if so.
+   */
   boolean consumeCut(CutPoint point) {
     return consumeCut(point, cutPriorityClass);
   }
 
-  /** Whether the stream breaks at a point for this priority class; counts it. */
+  /**
+   * Returns whether the stream breaks at a point for an offer of this priority class, and uses up
+   * one of the remaining breaks if so.
+   */
   boolean consumeCut(CutPoint point, String priorityClass) {
     boolean isMatch = cutPriorityClass.isEmpty() || cutPriorityClass.equals(priorityClass);
     if (cutPoint != point || remainingCuts <= 0 || !isMatch) {
--- a/src/main/java/fordridge/emulator/StallRecorder.java
+++ b/src/main/java/fordridge/emulator/StallRecorder.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * Records when the emulator's own process was kept waiting for a processor: what came late then was
- * not late.
+ * Records when the emulator's own process was stalled waiting for a processor. The invariant checks
+ * do not count delays of that length as violations.
  */
 final class StallRecorder {
   private static final Duration INTERVAL = Duration.ofMillis(10);
@@ -22,7 +22,7 @@
     this.recorder = recorder;
   }
 
-  /** Goes on until the executor is shut down. */
+  /** Starts periodic checks, which continue until the executor is shut down. */
   void start() {
     scheduleCheck();
   }
--- a/src/main/java/fordridge/emulator/StoreChangeRecorder.java
+++ b/src/main/java/fordridge/emulator/StoreChangeRecorder.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 
 /**
- * Records which scheduler was sent which change of the store, where it changes whether a machine
- * may be used. Called under the store's lock.
+ * Records the changes of whether a machine may be used, when the emulated etcd sends them to a
+ * scheduler. Called with the lock of the emulated etcd held.
  */
 final class StoreChangeRecorder implements EmulatedEtcd.SendListener {
   private static final String SOURCE = "etcd";
 
-  /** A kind of record that decides whether a machine may be used. */
+  /** The kinds of records that determine whether a machine may be used. */
   private enum Subject {
     MACHINE,
     DRAIN;
--- a/src/main/java/fordridge/emulator/StoreFaults.java
+++ b/src/main/java/fordridge/emulator/StoreFaults.java
@@ -1,6 +1,6 @@
 package fordridge.emulator;
 
-/** Faults of the emulated etcd. */
+/** Injects faults into the emulated etcd. */
 final class StoreFaults {
   private static final long REVISIONS_LOST_BY_RESTORE = 50;
   private static final long MIN_RESTORED_REVISION = 2;
@@ -20,13 +20,15 @@
             .orElseThrow(
                 () ->
                     new IllegalStateException(
-                        "fault " + fault.kind().text() + " needs registry.in = etcd"));
+                        "fault "
+                            + fault.kind().text()
+                            + " needs registry.in = etcd, but the scenario has registry.in = file"));
     switch (fault.kind()) {
       case ETCD_COMPACT -> etcd.compactNow();
       case ETCD_CUT -> loseLeader(etcd, fault);
       case ETCD_SILENCE -> {
-        etcd.setSilent(true);
-        timeline.runAfter(fault.length(), () -> etcd.setSilent(false));
+        etcd.silence(true);
+        timeline.runAfter(fault.length(), () -> etcd.silence(false));
       }
       case ETCD_DELAY -> {
         etcd.setEventDelayMillis((long) fault.size());
@@ -36,11 +38,18 @@
           etcd.restore(
               Math.max(MIN_RESTORED_REVISION, etcd.revision() - REVISIONS_LOST_BY_RESTORE), false);
       case ETCD_LEASES -> etcd.revokeAll();
-      default -> throw new IllegalArgumentException("not a fault of the store: " + fault.kind());
+      default ->
+          throw new IllegalArgumentException(
+              "fault kind "
+                  + fault.kind()
+                  + " does not apply to etcd; valid kinds are ETCD_COMPACT, ETCD_SILENCE, ETCD_CUT,"
+                  + " ETCD_DELAY, ETCD_RESTORE and ETCD_LEASES");
     }
   }
 
-  /** Without a leader for a while, and compacted when it has one again. */
+  /**
+   * Removes the leader for the fault's length, then compacts the history and restores the leader.
+   */
   private void loseLeader(EmulatedEtcd etcd, ScenarioFault fault) {
     etcd.leaderless(true);
     timeline.runAfter(
--- a/src/main/java/fordridge/emulator/Timers.java
+++ b/src/main/java/fordridge/emulator/Timers.java
@@ -8,13 +8,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Delayed work of the emulated peers. Failures are logged: nobody waits for the result. */
+/** Schedules work of the emulated peers. Failures are logged, as no caller awaits the result. */
 final class Timers {
   private static final Logger LOG = LoggerFactory.getLogger(Timers.class);
 
   private Timers() {}
 
-  /** An executor with one daemon thread. */
+  /** Creates an executor with one daemon thread. */
   static ScheduledExecutorService singleThread(String threadName) {
     return Executors.newSingleThreadScheduledExecutor(
         action -> {
@@ -24,13 +24,14 @@
         });
   }
 
-  /** Runs something once after a delay. */
+  /** Runs an action once after a delay. */
   static void schedule(ScheduledExecutorService executor, Duration delay, Runnable action) {
     Future<?> unused =
-        executor.schedule(loggingFailures(action), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
+        executor.schedule(
+            loggingFailures(action), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
   }
 
-  /** Runs something again and again, with a pause after each time. */
+  /** Runs an action repeatedly, with a fixed pause before each run. */
   static void repeat(ScheduledExecutorService executor, Duration pause, Runnable action) {
     Future<?> unused =
         executor.scheduleWithFixedDelay(
--- a/src/main/java/fordridge/emulator/WatchBenchmark.java
+++ b/src/main/java/fordridge/emulator/WatchBenchmark.java
@@ -24,8 +24,9 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * Measures what watching the emulated etcd costs, by the number of machines: the latency of a
- * change, catching up, a new snapshot, processor time and memory.
+ * Measures the cost of watching the machine list in the emulated etcd by the number of machines:
+ * the latency of a change, the time to catch up with many changes and to load a new snapshot, CPU
+ * time and memory.
  */
 public final class WatchBenchmark {
   private static final String PREFIX = "/fordridge";
@@ -36,7 +37,7 @@
   private static final long MAX_LATENCY_US = 60_000_000L;
   private static final Duration WAIT_TIMEOUT = Duration.ofMinutes(2);
 
-  /** The name of the threads on which the lists work. */
+  /** The name of the threads on which the machine lists run. */
   private static final String WATCH_THREAD_NAME = "etcd";
 
   private final EmulatedEtcd etcd;
@@ -52,10 +53,10 @@
   }
 
   /**
-   * Prints a row for each size.
+   * Runs the benchmark and prints a row for each number of machines.
    *
-   * @param sizes numbers of machines
-   * @param listCount how many machine lists watch, all in this process
+   * @param sizes the numbers of machines to measure
+   * @param listCount the number of machine lists that watch, all in this process
    */
   public static void run(int[] sizes, int listCount, PrintStream out)
       throws IOException, InvalidSettingsException, InterruptedException {
@@ -151,7 +152,7 @@
     }
   }
 
-  /** Drains begin and end, one at a time. */
+  /** Begins and ends drains one at a time, and records the latency of each change. */
   private void measureLatency() throws InterruptedException {
     for (int i = 0; i < LATENCY_CHANGES; i++) {
       String name = machineName(i % machines);
@@ -168,7 +169,7 @@
     changedAtNanos.clear();
   }
 
-  /** Many changes at once; the time until all lists have them. */
+  /** Writes many changes at once; returns the time in ms until all lists have received them. */
   private double measureCatchUp() throws InterruptedException {
     long startNanos = System.nanoTime();
     for (int first = 0; first < CATCH_UP_CHANGES; first += CATCH_UP_BATCH) {
@@ -187,7 +188,10 @@
     return (System.nanoTime() - startNanos) / 1e6;
   }
 
-  /** A change that the lists can't watch, as it is compacted: the time until all have it. */
+  /**
+   * Compacts a change before the lists can receive it, so that they have to load a new snapshot;
+   * returns the time in ms until all lists have done so.
+   */
   private double measureResync() throws InterruptedException {
     long[] resyncsBefore = lists.stream().mapToLong(EtcdMachineList::snapshotCount).toArray();
     etcd.leaderless(true);
@@ -236,7 +240,8 @@
     long deadlineNanos = System.nanoTime() + WAIT_TIMEOUT.toNanos();
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > deadlineNanos) {
-        throw new IllegalStateException("no change within " + WAIT_TIMEOUT);
+        throw new IllegalStateException(
+            "the machine lists did not receive the expected changes within " + WAIT_TIMEOUT);
       }
       Thread.sleep(0, 200_000);
     }
@@ -249,7 +254,7 @@
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  /** Processor time of the lists' own threads so far. */
+  /** Returns the CPU time that the threads of the machine lists have used so far. */
   private static long watchCpuNanos() {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     long sum = 0;
--- a/src/test/java/fordridge/emulator/ScenarioTest.java
+++ b/src/test/java/fordridge/emulator/ScenarioTest.java
@@ -11,7 +11,9 @@
 import net.jqwik.api.Example;
 
 class ScenarioTest {
-  /** Real schedulers against emulated peers, through some faults of every kind. */
+  /**
+   * Runs real schedulers against emulated peers while machine, fleet and client faults are active.
+   */
   @Example
   void smallScenarioKeepsTheInvariants() throws Exception {
     File folder = Files.createTempDirectory("scenario").toFile();
--- a/src/test/java/fordridge/etcd/EtcdMachineListTest.java
+++ b/src/test/java/fordridge/etcd/EtcdMachineListTest.java
@@ -177,7 +177,7 @@
         until(() -> quiet.watchers() + other.watchers() == 1);
         EmulatedEtcd used = quiet.watchers() == 1 ? quiet : other;
         EmulatedEtcd free = used == quiet ? other : quiet;
-        used.setSilent(true);
+        used.silence(true);
         long from = System.nanoTime();
         until(() -> free.watchers() == 1);
         assertThat(Duration.ofNanos(System.nanoTime() - from)).isLessThan(Duration.ofSeconds(4));
