--- a/src/main/java/fordridge/emulator/EmulatedClientStream.java
+++ b/src/main/java/fordridge/emulator/EmulatedClientStream.java
@@ -61,7 +61,7 @@
   private long lastReceivedSequence;
   private long lastAcknowledgedSequence;
   private int acceptancesToCut;
-  private Duration disconnectTime = Duration.ZERO;
+  private Duration disconnectTimeAfterAcceptance = Duration.ZERO;
 
   EmulatedClientStream(
       String client,
@@ -194,9 +194,9 @@
    * Breaks the stream when each of the next acceptances arrives, before the client handles or
    * acknowledges it.
    */
-  void cutAtAcceptances(int times, Duration newDisconnectTime) {
+  void cutAtAcceptances(int times, Duration disconnectTime) {
     acceptancesToCut = times;
-    disconnectTime = newDisconnectTime;
+    disconnectTimeAfterAcceptance = disconnectTime;
   }
 
   void close() {
@@ -224,7 +224,7 @@
     long nowUs = recorder.nowUs();
     if (message.hasBound() && acceptancesToCut > 0) {
       acceptancesToCut--;
-      cut(disconnectTime);
+      cut(disconnectTimeAfterAcceptance);
       return;
     }
     if (message.getSeq() > 0) {
--- a/src/main/java/fordridge/emulator/EmulatedRegistry.java
+++ b/src/main/java/fordridge/emulator/EmulatedRegistry.java
@@ -28,7 +28,7 @@
 
   private record PublishedState(State state, Optional<Instant> startedAt) {}
 
-  private final MachineListWriter publisher;
+  private final MachineListWriter listWriter;
   private final WireRecorder recorder;
   private final long delayUs;
   private final ScheduledExecutorService executor = Timers.singleThread("registry");
@@ -40,8 +40,8 @@
   private final Map<String, PublishedState> published = new HashMap<>();
   private final Deque<Snapshot> snapshots = new ArrayDeque<>();
 
-  EmulatedRegistry(MachineListWriter publisher, WireRecorder recorder, Duration delay) {
-    this.publisher = publisher;
+  EmulatedRegistry(MachineListWriter listWriter, WireRecorder recorder, Duration delay) {
+    this.listWriter = listWriter;
     this.recorder = recorder;
     delayUs = delay.toNanos() / 1000;
   }
@@ -121,7 +121,7 @@
    * schedulers cannot know of them earlier.
    */
   private void publish(Collection<RegisteredMachine> list) throws IOException {
-    publisher.write(list, () -> recordChanges(list, true), () -> recordChanges(list, false));
+    listWriter.write(list, () -> recordChanges(list, true), () -> recordChanges(list, false));
   }
 
   private void recordChanges(Collection<RegisteredMachine> list, boolean ofLiveMachines) {
--- a/src/main/java/fordridge/emulator/Scenario.java
+++ b/src/main/java/fordridge/emulator/Scenario.java
@@ -141,13 +141,13 @@
       List<EmulatedMachine> fleet,
       Config config,
       Optional<EmulatedEtcd> etcd,
-      MachineListWriter publisher)
+      MachineListWriter listWriter)
       throws IOException, InterruptedException, InvalidSettingsException {
     int machineCount = plan.fleet().machines();
     List<EmulatedMachine> machines = new ArrayList<>(fleet.subList(0, machineCount));
     List<EmulatedMachine> spares = fleet.subList(machineCount, fleet.size());
     try (EmulatedRegistry registry =
-        new EmulatedRegistry(publisher, recorder, plan.registry().delay())) {
+        new EmulatedRegistry(listWriter, recorder, plan.registry().delay())) {
       machines.forEach(machine -> registry.setState(machine, RegisteredMachine.State.LIVE));
       registry.start(plan.registry().interval());
       try (SchedulerFleet schedulers = startSchedulers(config)) {
