--- a/src/main/java/fordridge/emulator/CutPoint.java
+++ b/src/main/java/fordridge/emulator/CutPoint.java
@@ -1,10 +1,10 @@
 package fordridge.emulator;
 
-/** The point in a conversation at which a fault breaks a machine's stream. */
+/** The point in the message exchange at which a fault breaks a scheduler's stream to a machine. */
 enum CutPoint {
   NONE,
   AFTER_GREETING,
   AFTER_OFFER_READ,
-  BEFORE_START_ANSWER,
-  AFTER_START_ANSWER
+  BEFORE_START_RESPONSE,
+  AFTER_START_RESPONSE
 }
--- a/src/main/java/fordridge/emulator/EmulatedClient.java
+++ b/src/main/java/fordridge/emulator/EmulatedClient.java
@@ -23,25 +23,25 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * An emulated client: requests VMs of its scheduler at a rate, and requests them again after a
- * rejection, a failure that does no harm, or a loss.
+ * An emulated client: requests VMs from its scheduler at a configured mean rate. It retries after a
+ * rejection or the loss of a VM, and after a failed request if the VM is idempotent.
  *
- * <p>All its state belongs to its event loop; {@link #execute} is the way in for other threads.
+ * <p>Confined to its event loop; other threads call {@link #execute}.
  */
-final class EmulatedClient implements ClientStream.Handler {
-  /** A request with less time left is not sent. */
+final class EmulatedClient implements EmulatedClientStream.Handler {
+  /** Requests with this time or less until their deadline are not sent. */
   private static final long MIN_TIME_LEFT_US = 50_000;
 
   private static final long RETRY_AFTER_MIGRATION_US = 50_000;
   private static final long MIN_RETRY_AFTER_LOSS_US = 50_000;
-  private static final int RETRY_AFTER_LOSS_SPREAD_US = 300_000;
+  private static final int RETRY_AFTER_LOSS_JITTER_US = 300_000;
 
-  /** A lost VM with less time to run is not requested again. */
+  /** A lost VM with this remaining run time or less is not requested again. */
   private static final long MIN_REMAINING_LIFE_US = 1_000_000;
 
   private static final double MIN_LIFE_SECONDS = 1;
 
-  /** Cuts the tail of the exponential distribution of lives. */
+  /** Run times are drawn from an exponential distribution, truncated at this quantile. */
   private static final double LIFE_QUANTILE = 0.95;
 
   private final String name;
@@ -51,18 +51,19 @@
   private final ScenarioPlan.Clients plan;
   private final List<ServiceProfile> services;
   private final UniformRandomProvider random;
-  private final ClientStream stream;
+  private final EmulatedClientStream stream;
   private final Map<String, RequestedVm> pending = new LinkedHashMap<>();
   private final Map<String, RequestedVm> running = new LinkedHashMap<>();
   private final Deque<RequestedVm> unsent = new ArrayDeque<>();
-  private long lastWorkload;
+  private long lastWorkloadNumber;
   private double ratePerSecond;
   private volatile int pendingCount;
 
   /**
-   * Where a client connects to, and its share of the load.
+   * The name of a client, its scheduler, its share of the load and its seed.
    *
-   * @param port of its scheduler on loopback
+   * @param port the loopback port of its scheduler
+   * @param ratePerSecond mean number of VMs that it requests per second
    */
   record Identity(String name, int port, double ratePerSecond, long seed) {}
 
@@ -81,39 +82,39 @@
     this.plan = plan;
     this.services = services;
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(identity.seed());
-    stream = new ClientStream(name, identity.port(), loop, recorder, random, this);
+    stream = new EmulatedClientStream(name, identity.port(), loop, recorder, random, this);
   }
 
-  /** Does something to the client on its event loop. */
+  /** Runs an action on the event loop of this client. */
   void execute(Runnable action) {
     loop.execute(action);
   }
 
-  /** Requests that wait for a response; from any thread. */
+  /** Number of requests that wait for a response. May be called from any thread. */
   int pendingCount() {
     return pendingCount;
   }
 
-  // On the event loop from here on.
+  // All methods below are called on the event loop.
 
-  /** The stream to its scheduler, for faults. */
-  ClientStream stream() {
+  /** The stream to the scheduler, on which faults are injected. */
+  EmulatedClientStream stream() {
     return stream;
   }
 
-  /** Multiplies the rate of requests. */
+  /** Multiplies the request rate. */
   void scaleRate(double factor) {
     ratePerSecond *= factor;
   }
 
-  /** Ends an earlier {@link #scaleRate} by the same factor. */
-  void unscaleRate(double factor) {
+  /** Undoes an earlier {@link #scaleRate} with the same factor. */
+  void undoScaleRate(double factor) {
     ratePerSecond /= factor;
   }
 
-  /** Requests VMs until this time of the recording. */
+  /** Requests batches of VMs at random intervals until this time of the recording. */
   void requestUntil(long endUs) {
-    double waitSeconds = -Math.log(1 - random.nextDouble()) * plan.batch() / ratePerSecond;
+    double waitSeconds = -Math.log(1 - random.nextDouble()) * plan.meanBatchSize() / ratePerSecond;
     Timers.schedule(
         loop,
         Duration.ofNanos(TimeUnit.MICROSECONDS.toNanos((long) (waitSeconds * 1e6))),
@@ -127,24 +128,27 @@
 
   private void requestBatch() {
     ServiceProfile service = services.get(random.nextInt(services.size()));
-    int count = 1 + random.nextInt((int) Math.round(2 * plan.batch() - 1));
+    int count = 1 + random.nextInt((int) Math.round(2 * plan.meanBatchSize() - 1));
     for (int i = 0; i < count; i++) {
-      requestNew(service);
+      requestNewVm(service);
     }
   }
 
-  private void requestNew(ServiceProfile service) {
+  private void requestNewVm(ServiceProfile service) {
     double lifeSeconds =
         Math.max(
             MIN_LIFE_SECONDS,
             service.meanLifeSeconds() * -Math.log(1 - random.nextDouble() * LIFE_QUANTILE));
-    lastWorkload++;
-    String workload = name + "-" + lastWorkload;
+    lastWorkloadNumber++;
+    String workload = name + "-" + lastWorkloadNumber;
     outcomes.requested(service);
     request(new RequestedVm(workload, service, recorder.nowUs(), (long) (lifeSeconds * 1e6)));
   }
 
-  /** Stops this share of the running VMs and requests them all again within the span. */
+  /**
+   * Stops a share of the running VMs, drawn at random, and requests the idempotent ones again
+   * within the given time.
+   */
   void restartVms(double share, Duration within) {
     for (String vm : List.copyOf(running.keySet())) {
       if (random.nextDouble() < share) {
@@ -159,21 +163,21 @@
   }
 
   private void requestAgain(RequestedVm vm, long delayUs) {
-    if (vm.requests() < plan.maxAttempts() && stream.isOpen()) {
+    if (vm.requestCount() < plan.maxAttempts() && stream.isOpen()) {
       Timers.schedule(
           loop, Duration.ofNanos(TimeUnit.MICROSECONDS.toNanos(delayUs)), () -> request(vm));
     }
   }
 
   private void request(RequestedVm vm) {
-    vm.requested(recorder.nowUs());
+    vm.markRequested(recorder.nowUs());
     unsent.addLast(vm);
     writable();
   }
 
   /**
-   * Sends what the stream takes. A request leaves with the time that is left as it is written, so
-   * that none waits behind others in a buffer.
+   * Sends unsent requests while the transport is ready. A request carries the time until its
+   * deadline as of the moment it is written, so it must not wait in a transport buffer.
    */
   @Override
   public void writable() {
@@ -187,11 +191,11 @@
     if (timeLeftUs <= MIN_TIME_LEFT_US) {
       return;
     }
-    pending.put(vm.vm(), vm);
+    pending.put(vm.requestName(), vm);
     pendingCount = pending.size();
     recorder
         .event(name, RecordKind.PLACEMENT_REQUESTED)
-        .with(RecordField.VM, vm.vm())
+        .with(RecordField.VM, vm.requestName())
         .with(RecordField.WORKLOAD, vm.workload)
         .with(RecordField.PRIORITY_CLASS, vm.service.priorityClass().name())
         .with(RecordField.TIME_LEFT, timeLeftUs)
@@ -205,7 +209,7 @@
         ClientMessage.newBuilder()
             .setWant(
                 Want.newBuilder()
-                    .setVm(vm.vm())
+                    .setVm(vm.requestName())
                     .setWorkload(vm.workload)
                     .setFlavour(service.priorityClass().name())
                     .setService(service.number())
@@ -214,12 +218,12 @@
                     .setMemory(service.shape().memory())
                     .setTimeLeftUs(Math.max(1, vm.timeLeftUs(recorder.nowUs())))
                     .setLastsUs(vm.remainingLifeUs())
-                    .setAgain(vm.requests() > 1)));
+                    .setAgain(vm.requestCount() > 1)));
   }
 
   /**
-   * Repeats the pending requests: they may have been lost with the stream, and a scheduler that has
-   * them knows them by their names.
+   * Repeats the pending requests, which may have been lost with the previous stream. A scheduler
+   * that did receive them recognizes the repetitions by the VM names.
    */
   @Override
   public void connected() {
@@ -254,7 +258,7 @@
     removePending(bound.getVm())
         .ifPresent(
             vm -> {
-              if (vm.running(nowUs)) {
+              if (vm.markRunning(nowUs)) {
                 outcomes.running(vm.service, vm.sinceFirstRequestUs(nowUs));
               }
               running.put(bound.getVm(), vm);
@@ -271,7 +275,10 @@
             });
   }
 
-  /** What must not run twice and may be running is not requested again. */
+  /**
+   * Retries only idempotent VMs: after a failure the VM may be running, and one that is not
+   * idempotent must not run twice.
+   */
   private void failed(String vmName) {
     recorder.event(name, RecordKind.ERRORED).with(RecordField.VM, vmName).write();
     removePending(vmName)
@@ -300,10 +307,10 @@
       return;
     }
     outcomes.ended(vm.service, how);
-    vm.ended(nowUs);
+    vm.markEnded(nowUs);
     boolean isLost = how != Ended.How.DONE && how != Ended.How.ERROR;
     if (isLost && vm.remainingLifeUs() > MIN_REMAINING_LIFE_US) {
-      requestAgain(vm, MIN_RETRY_AFTER_LOSS_US + random.nextInt(RETRY_AFTER_LOSS_SPREAD_US));
+      requestAgain(vm, MIN_RETRY_AFTER_LOSS_US + random.nextInt(RETRY_AFTER_LOSS_JITTER_US));
     }
   }
 
@@ -315,7 +322,7 @@
     }
   }
 
-  /** Connects to its scheduler. */
+  /** Connects to the scheduler. */
   void open() {
     stream.open();
   }
--- a/src/main/java/fordridge/emulator/ClientStream.java
+++ b/src/main/java/fordridge/emulator/EmulatedClientStream.java
@@ -20,25 +20,26 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A client's stream to its scheduler: connects, reconnects after a break, resumes the session by
- * its token, and acknowledges what it received. All its state belongs to the client's event loop.
+ * The stream of an emulated client to its scheduler: connects, reconnects after a failure, resumes
+ * the session with its token, and acknowledges received messages. Confined to the client's event
+ * loop.
  */
-final class ClientStream {
+final class EmulatedClientStream {
   private static final int MIN_RECONNECT_MILLIS = 20;
-  private static final int RECONNECT_SPREAD_MILLIS = 60;
+  private static final int RECONNECT_JITTER_MILLIS = 60;
 
-  /** Messages are acknowledged when so many have arrived since the last acknowledgement. */
-  private static final int ACKNOWLEDGE_EVERY = 16;
+  /** Number of received messages after which an acknowledgement is sent. */
+  private static final int MESSAGES_PER_ACKNOWLEDGEMENT = 16;
 
-  /** Hears of the session, on the event loop. */
+  /** Receives the events of the session, on the event loop. */
   interface Handler {
-    /** The scheduler took up the session, or began a new one. */
+    /** The scheduler resumed the session or opened a new one. */
     void connected();
 
-    /** The stream takes messages again. */
+    /** The transport is ready for more messages. */
     void writable();
 
-    /** A message other than the welcome, for the first time. */
+    /** A message arrived that is neither a welcome nor a repetition. */
     void received(PlacerMessage message, long nowUs);
   }
 
@@ -51,18 +52,18 @@
   private Optional<ManagedChannel> channel = Optional.empty();
   private Optional<ClientCallStreamObserver<ClientMessage>> stream = Optional.empty();
 
-  /** Tells the events of the present stream from those of earlier ones. */
+  /** Number of the current stream; events of earlier streams are ignored. */
   private int generation;
 
   private boolean isOpen;
-  private boolean isWelcomed;
+  private boolean isSessionEstablished;
   private String resumeToken = "";
-  private long lastSeen;
-  private long lastAcknowledged;
+  private long lastReceivedSequence;
+  private long lastAcknowledgedSequence;
   private int acceptancesToCut;
-  private Duration cutLength = Duration.ZERO;
+  private Duration disconnectTimeAfterAcceptance = Duration.ZERO;
 
-  ClientStream(
+  EmulatedClientStream(
       String client,
       int port,
       EventLoop loop,
@@ -98,7 +99,7 @@
     recorder
         .event(client, RecordKind.HELLO)
         .with(RecordField.IS_RESUMING, !resumeToken.isEmpty())
-        .with(RecordField.LAST_SEEN_SEQUENCE, lastSeen)
+        .with(RecordField.LAST_SEEN_SEQUENCE, lastReceivedSequence)
         .write();
     write(
         ClientMessage.newBuilder()
@@ -106,7 +107,7 @@
                 Hello.newBuilder()
                     .setClient(client)
                     .setResumeToken(resumeToken)
-                    .setSeen(lastSeen)));
+                    .setSeen(lastReceivedSequence)));
   }
 
   private ManagedChannel newChannel() {
@@ -119,7 +120,7 @@
         .build();
   }
 
-  /** Passes on the events of one stream, until another one replaces it. */
+  /** Passes on the events of one stream until another stream replaces it. */
   private final class Responses implements ClientResponseObserver<ClientMessage, PlacerMessage> {
     private final int ownGeneration;
 
@@ -152,66 +153,69 @@
     @Override
     public void onError(Throwable cause) {
       if (isCurrent()) {
-        broken(cause.toString());
+        streamBroken(cause.toString());
       }
     }
 
     @Override
     public void onCompleted() {
       if (isCurrent()) {
-        broken("completed");
+        streamBroken("completed");
       }
     }
   }
 
-  private void broken(String reason) {
-    forgetStream();
+  private void streamBroken(String reason) {
+    dropStream();
     recorder.event(client, RecordKind.STREAM_BROKEN).with(RecordField.REASON, reason).write();
-    int delayMillis = MIN_RECONNECT_MILLIS + random.nextInt(RECONNECT_SPREAD_MILLIS);
+    int delayMillis = MIN_RECONNECT_MILLIS + random.nextInt(RECONNECT_JITTER_MILLIS);
     Timers.schedule(loop, Duration.ofMillis(delayMillis), this::connect);
   }
 
-  private void forgetStream() {
+  private void dropStream() {
     stream = Optional.empty();
-    isWelcomed = false;
+    isSessionEstablished = false;
     generation++;
   }
 
-  /** Breaks the stream, and connects again after a while. */
-  void cut(Duration length) {
+  /** Breaks the stream, and reconnects after the given time. */
+  void cut(Duration disconnectTime) {
     if (stream.isEmpty()) {
       return;
     }
     ClientCallStreamObserver<ClientMessage> old = stream.get();
-    forgetStream();
+    dropStream();
     recorder.event(client, RecordKind.CUT).write();
     old.cancel("cut", null);
-    Timers.schedule(loop, length, this::connect);
+    Timers.schedule(loop, disconnectTime, this::connect);
   }
 
-  /** Breaks the stream at the next acceptances, before they are seen or acknowledged. */
-  void cutAtAcceptances(int times, Duration length) {
+  /**
+   * Breaks the stream when each of the next acceptances arrives, before the client handles or
+   * acknowledges it.
+   */
+  void cutAtAcceptances(int times, Duration disconnectTime) {
     acceptancesToCut = times;
-    cutLength = length;
+    disconnectTimeAfterAcceptance = disconnectTime;
   }
 
   void close() {
     isOpen = false;
     stream.ifPresent(
         open -> {
-          open.cancel("the scenario is over", null);
+          open.cancel("the scenario has ended", null);
           stream = Optional.empty();
           generation++;
         });
     channel.ifPresent(ManagedChannel::shutdownNow);
   }
 
-  /** Whether a request written now leaves at once. */
+  /** Whether a request can be sent now without being buffered. */
   boolean isWritable() {
-    return isWelcomed && stream.isPresent() && stream.get().isReady();
+    return isSessionEstablished && stream.isPresent() && stream.get().isReady();
   }
 
-  /** Writes a message; it is lost if there is no stream. */
+  /** Sends a message; drops it if no stream is open. */
   void write(ClientMessage.Builder message) {
     stream.ifPresent(open -> open.onNext(message.build()));
   }
@@ -220,18 +224,18 @@
     long nowUs = recorder.nowUs();
     if (message.hasBound() && acceptancesToCut > 0) {
       acceptancesToCut--;
-      cut(cutLength);
+      cut(disconnectTimeAfterAcceptance);
       return;
     }
     if (message.getSeq() > 0) {
-      if (message.getSeq() <= lastSeen) {
+      if (message.getSeq() <= lastReceivedSequence) {
         recorder
             .event(client, RecordKind.REPEATED)
             .with(RecordField.SEQUENCE, message.getSeq())
             .write();
         return;
       }
-      lastSeen = message.getSeq();
+      lastReceivedSequence = message.getSeq();
     }
     if (message.hasWelcome()) {
       welcomed(message.getWelcome());
@@ -247,18 +251,18 @@
         .with(RecordField.IS_RESUMED, welcome.getResumed())
         .write();
     if (!welcome.getResumed()) {
-      lastSeen = 0;
-      lastAcknowledged = 0;
+      lastReceivedSequence = 0;
+      lastAcknowledgedSequence = 0;
     }
     resumeToken = welcome.getResumeToken();
-    isWelcomed = true;
+    isSessionEstablished = true;
     handler.connected();
   }
 
   private void acknowledge() {
-    if (lastSeen - lastAcknowledged >= ACKNOWLEDGE_EVERY) {
-      lastAcknowledged = lastSeen;
-      write(ClientMessage.newBuilder().setAck(Ack.newBuilder().setSeen(lastSeen)));
+    if (lastReceivedSequence - lastAcknowledgedSequence >= MESSAGES_PER_ACKNOWLEDGEMENT) {
+      lastAcknowledgedSequence = lastReceivedSequence;
+      write(ClientMessage.newBuilder().setAck(Ack.newBuilder().setSeen(lastReceivedSequence)));
     }
   }
 }
--- a/src/main/java/fordridge/emulator/EmulatedMachine.java
+++ b/src/main/java/fordridge/emulator/EmulatedMachine.java
@@ -26,9 +26,10 @@
 import java.util.Optional;
 
 /**
- * An emulated machine: the model behind a loopback socket, with faults at the socket.
+ * An emulated machine: serves a {@link MachineModel} on a loopback socket, where faults can be
+ * injected.
  *
- * <p>All its state belongs to its event loop; {@link #execute} is the way in for other threads.
+ * <p>Confined to its event loop; other threads call {@link #execute}.
  */
 final class EmulatedMachine implements MachineListener, MachineService.Handler {
   private final MachineSpec spec;
@@ -42,9 +43,9 @@
   private Optional<Duration> wakeUpAt = Optional.empty();
 
   /**
-   * Begins to listen on a free port.
+   * Starts to listen on a free port.
    *
-   * @param epochNanos the {@link System#nanoTime} that is time zero of the model
+   * @param epochNanos the value of {@link System#nanoTime} at time zero of the model
    */
   EmulatedMachine(
       MachineSpec spec,
@@ -77,7 +78,7 @@
     return server.port();
   }
 
-  /** Does something to the machine on its event loop. */
+  /** Runs an action on the event loop of this machine, with the model at the current time. */
   void execute(Runnable action) {
     loop.execute(() -> run(action));
   }
@@ -86,17 +87,17 @@
     model.advanceTo(now());
     action.run();
     model.advanceTo(now());
-    model.nextEventAt().ifPresent(this::wakeUpBy);
+    model.nextEventAt().ifPresent(this::scheduleWakeUp);
   }
 
-  private void wakeUpBy(Duration next) {
-    if (wakeUpAt.isPresent() && next.compareTo(wakeUpAt.get()) >= 0) {
+  private void scheduleWakeUp(Duration eventAt) {
+    if (wakeUpAt.isPresent() && eventAt.compareTo(wakeUpAt.get()) >= 0) {
       return;
     }
-    wakeUpAt = Optional.of(next);
+    wakeUpAt = Optional.of(eventAt);
     Timers.schedule(
         loop,
-        next.minus(now()),
+        eventAt.minus(now()),
         () -> {
           wakeUpAt = Optional.empty();
           run(() -> {});
@@ -107,20 +108,20 @@
     return Duration.ofNanos(System.nanoTime() - epochNanos);
   }
 
-  // Messages of schedulers.
+  // Messages from schedulers.
 
   @Override
   public void greeted(String scheduler, ServerCallStreamObserver<FromMachine> stream) {
-    run(() -> takeGreeting(scheduler, stream));
+    run(() -> handleGreeting(scheduler, stream));
   }
 
-  private void takeGreeting(String scheduler, ServerCallStreamObserver<FromMachine> stream) {
+  private void handleGreeting(String scheduler, ServerCallStreamObserver<FromMachine> stream) {
     event(RecordKind.GREETING).with(RecordField.SCHEDULER, scheduler).write();
     if (socketFaults.isMute()) {
       return;
     }
     streams.opened(scheduler, stream);
-    if (socketFaults.takeCut(CutPoint.AFTER_GREETING)) {
+    if (socketFaults.consumeCut(CutPoint.AFTER_GREETING)) {
       streams.cut(scheduler);
       return;
     }
@@ -134,14 +135,14 @@
 
   @Override
   public void received(String scheduler, ToMachine message) {
-    run(() -> take(scheduler, message));
+    run(() -> handleMessage(scheduler, message));
   }
 
-  private void take(String scheduler, ToMachine message) {
+  private void handleMessage(String scheduler, ToMachine message) {
     switch (message.getBodyCase()) {
-      case OFFER -> takeOffer(scheduler, message.getOffer());
-      case CANCEL -> takeCancel(RecordKind.CANCEL, scheduler, message.getCancel().getClaim());
-      case STOP -> takeCancel(RecordKind.STOP, scheduler, message.getStop().getClaim());
+      case OFFER -> handleOffer(scheduler, message.getOffer());
+      case CANCEL -> handleCancel(RecordKind.CANCEL, scheduler, message.getCancel().getClaim());
+      case STOP -> handleCancel(RecordKind.STOP, scheduler, message.getStop().getClaim());
       case PROBE -> {
         event(RecordKind.PROBE).with(RecordField.SCHEDULER, scheduler).write();
         model.probed(scheduler, message.getProbe().getNumber());
@@ -150,7 +151,7 @@
     }
   }
 
-  private void takeOffer(String scheduler, Offer offer) {
+  private void handleOffer(String scheduler, Offer offer) {
     event(RecordKind.OFFER)
         .with(RecordField.SCHEDULER, scheduler)
         .with(RecordField.VM, offer.getClaim().getVm())
@@ -160,13 +161,13 @@
         .with(RecordField.TENANT, offer.getCustomer())
         .with(RecordField.TIME_LEFT_AT_OFFER, offer.getWithinUs())
         .write();
-    if (socketFaults.takeCut(CutPoint.AFTER_OFFER_READ, offer.getFlavour())) {
+    if (socketFaults.consumeCut(CutPoint.AFTER_OFFER_READ, offer.getFlavour())) {
       streams.cut(scheduler);
     }
     model.offered(MachineMessages.offeredVm(scheduler, offer, now()));
   }
 
-  private void takeCancel(RecordKind kind, String scheduler, ClaimName claim) {
+  private void handleCancel(RecordKind kind, String scheduler, ClaimName claim) {
     event(kind)
         .with(RecordField.SCHEDULER, scheduler)
         .with(RecordField.VM, claim.getVm())
@@ -180,16 +181,16 @@
     streams.closed(scheduler, stream);
   }
 
-  // Answers of the model.
+  // Events of the model, which are sent to the schedulers.
 
   @Override
   public void accepted(HostedVm vm) {
-    answer(vm, MachineMessages.accepted(vm), event(RecordKind.ACCEPTED, vm));
+    sendResponse(vm, MachineMessages.accepted(vm), event(RecordKind.ACCEPTED, vm));
   }
 
   @Override
   public void refused(HostedVm vm, RefusalReason reason) {
-    answer(
+    sendResponse(
         vm,
         MachineMessages.refused(vm, reason, model),
         event(RecordKind.REFUSED, vm).with(RecordField.REASON, reason.text()));
@@ -199,21 +200,21 @@
   public void started(HostedVm vm) {
     String scheduler = vm.offer().attempt().scheduler();
     String priorityClass = vm.offer().priorityClass();
-    if (socketFaults.takeCut(CutPoint.BEFORE_START_ANSWER, priorityClass)) {
+    if (socketFaults.consumeCut(CutPoint.BEFORE_START_RESPONSE, priorityClass)) {
       streams.cut(scheduler);
     }
-    answer(
+    sendResponse(
         vm,
         MachineMessages.started(vm, model),
         event(RecordKind.STARTED, vm).with(RecordField.PRIORITY_CLASS, priorityClass));
-    if (socketFaults.takeCut(CutPoint.AFTER_START_ANSWER, priorityClass)) {
+    if (socketFaults.consumeCut(CutPoint.AFTER_START_RESPONSE, priorityClass)) {
       streams.cut(scheduler);
     }
   }
 
   @Override
   public void finished(HostedVm vm, VmEnd end, boolean hasRun) {
-    answer(
+    sendResponse(
         vm,
         MachineMessages.finished(vm, end, hasRun),
         event(RecordKind.FINISHED, vm)
@@ -221,8 +222,10 @@
             .with(RecordField.HAS_RUN, hasRun));
   }
 
-  /** Sends an answer, unless a fault keeps it back. */
-  private void answer(HostedVm vm, FromMachine message, WireRecorder.Event event) {
+  /**
+   * Sends a response, unless there is no open stream or a fault loses it; records it either way.
+   */
+  private void sendResponse(HostedVm vm, FromMachine message, WireRecorder.Event event) {
     String scheduler = vm.offer().attempt().scheduler();
     Optional<ServerCallStreamObserver<FromMachine>> stream = streams.find(scheduler);
     boolean isLost = !isWritable(stream) || socketFaults.drawLoss();
@@ -234,7 +237,7 @@
     }
   }
 
-  /** Reports to probes don't get lost with the answers. */
+  /** Responds to a probe. A fault that loses other responses does not lose these. */
   @Override
   public void loadReport(String scheduler, long probeNumber) {
     Optional<ServerCallStreamObserver<FromMachine>> stream = streams.find(scheduler);
@@ -255,22 +258,22 @@
 
   @Override
   public void usage(HostedVm vm, double cores, double memory) {
-    note(vm, Note.What.CORES, cores);
-    note(vm, Note.What.MEMORY, memory);
+    sendNote(vm, Note.What.CORES, cores);
+    sendNote(vm, Note.What.MEMORY, memory);
   }
 
   @Override
   public void degraded(HostedVm vm, double share) {
-    note(vm, Note.What.SERVICE, share);
+    sendNote(vm, Note.What.SERVICE, share);
   }
 
   @Override
   public void memoryPressure(HostedVm vm, double share) {
-    note(vm, Note.What.PRESSURE, share);
+    sendNote(vm, Note.What.PRESSURE, share);
   }
 
-  /** Notes are not answers: they are dropped while the stream is slow. */
-  private void note(HostedVm vm, Note.What subject, double amount) {
+  /** Sends a note about a VM. Unlike a response, it is dropped while the stream is not ready. */
+  private void sendNote(HostedVm vm, Note.What subject, double amount) {
     String scheduler = vm.offer().attempt().scheduler();
     Optional<ServerCallStreamObserver<FromMachine>> stream = streams.find(scheduler);
     if (socketFaults.isHung() || stream.isEmpty() || !stream.get().isReady()) {
@@ -302,7 +305,7 @@
         .with(RecordField.ATTEMPT_NUMBER, attempt.number());
   }
 
-  // Faults and state, on the machine's event loop.
+  // Access to state and faults, on the machine's event loop.
 
   MachineModel model() {
     return model;
@@ -316,7 +319,10 @@
     return socketFaults;
   }
 
-  /** It neither reads nor writes, and takes no connections; nothing is reset. */
+  /**
+   * Starts or stops a fault in which the machine neither reads nor writes and accepts no
+   * connections, while its open connections are not reset.
+   */
   void setVanished(boolean on) {
     server.setReading(!on);
     socketFaults.setVanished(on);
@@ -328,30 +334,30 @@
     streams.cutAll();
   }
 
-  /** The process dies: streams are reset, and what ran is lost. */
+  /** Emulates the death of the process: streams are reset and all VMs are lost. */
   void crash() {
     event(RecordKind.CRASH).write();
     model.crash();
-    streams.clear();
+    streams.forgetAll();
     socketFaults.setHung(true);
     server.kill();
   }
 
-  /** Comes up at the same address with nothing running, and warms up. */
+  /** Starts the machine again at the same address without VMs; it warms up. */
   void restart() {
     if (socketFaults.isVanished()) {
       event(RecordKind.CRASH).write();
       server.kill();
-      streams.clear();
+      streams.forgetAll();
       server.forgetListener();
     }
     socketFaults.setVanished(false);
     model.faults().setPaused(false);
     model.restart(now());
     recordStart();
-    // A spare machine that joins the fleet listens already.
-    if (server.takeKilled()) {
-      startServerAgain();
+    // A spare machine that joins the fleet was not killed and is already listening.
+    if (server.getAndClearKilled()) {
+      restartServer();
     }
   }
 
@@ -367,13 +373,15 @@
         .write();
   }
 
-  /** Starting waits for the event loop, so it is done on a thread of its own. */
-  private void startServerAgain() {
-    Thread starter =
+  /**
+   * Restarts the server on a new thread: starting blocks until the event loop has bound the port.
+   */
+  private void restartServer() {
+    Thread thread =
         new Thread(
             () -> {
               try {
-                server.startAgain();
+                server.restart();
               } catch (IOException e) {
                 event(RecordKind.MACHINE_START_FAILED)
                     .with(RecordField.REASON, e.toString())
@@ -383,8 +391,8 @@
               }
             },
             "restart-" + name());
-    starter.setDaemon(true);
-    starter.start();
+    thread.setDaemon(true);
+    thread.start();
   }
 
   void close() {
--- a/src/main/java/fordridge/emulator/EtcdPublisher.java
+++ b/src/main/java/fordridge/emulator/EtcdMachineListWriter.java
@@ -8,32 +8,32 @@
 import java.util.Objects;
 
 /**
- * Publishes the machine list to the emulated etcd: one record for each machine that may be reached
- * and one for each drain. Records that did not change are not written; all changes have one
- * revision.
+ * Writes the machine list to the emulated etcd: one record for each machine that is not gone, and
+ * one for each machine that is draining. Only changed records are written, all at one revision.
  */
-final class EtcdPublisher implements MachineListPublisher {
+final class EtcdMachineListWriter implements MachineListWriter {
   private static final String DRAIN_RECORD = "{\"v\":2}";
 
   private final EmulatedEtcd etcd;
   private final String prefix;
   private final Map<String, String> published = new HashMap<>();
 
-  EtcdPublisher(EmulatedEtcd etcd, String prefix) {
+  EtcdMachineListWriter(EmulatedEtcd etcd, String prefix) {
     this.etcd = etcd;
     this.prefix = prefix;
   }
 
   @Override
-  public void publish(
+  public void write(
       Collection<RegisteredMachine> machines, Runnable beforeVisible, Runnable afterVisible) {
     Map<String, String> changes = new LinkedHashMap<>();
     for (RegisteredMachine registered : machines) {
       String name = registered.machine().name();
       boolean isGone = registered.isIn(RegisteredMachine.State.GONE);
       boolean isDraining = registered.isIn(RegisteredMachine.State.DRAINING);
-      change(changes, prefix + "/machines/" + name, isGone ? null : machineRecord(registered));
-      change(changes, prefix + "/drains/" + name, isDraining ? DRAIN_RECORD : null);
+      addIfChanged(
+          changes, prefix + "/machines/" + name, isGone ? null : machineRecord(registered));
+      addIfChanged(changes, prefix + "/drains/" + name, isDraining ? DRAIN_RECORD : null);
     }
     beforeVisible.run();
     if (!changes.isEmpty()) {
@@ -42,8 +42,8 @@
     afterVisible.run();
   }
 
-  /** A null value deletes the record. */
-  private void change(Map<String, String> changes, String key, String value) {
+  /** Adds a record to the changes if it differs from the published one; null deletes it. */
+  private void addIfChanged(Map<String, String> changes, String key, String value) {
     if (!Objects.equals(published.put(key, value), value)) {
       changes.put(key, value);
     }
--- a/src/main/java/fordridge/emulator/EtcdState.java
+++ b/src/main/java/fordridge/emulator/EtcdState.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * What the services of the emulated etcd share. The object itself is the lock: all of its state,
- * and all that is reached through it, is used by its holder only.
+ * The state that the services of the emulated etcd share. This object is also the lock: callers
+ * must hold its monitor to use this state and any object reached through it.
  */
 final class EtcdState {
   private static final long FIRST_CLUSTER_ID = 0xf0fd;
@@ -24,9 +24,13 @@
   private final ScheduledExecutorService executor;
   private EmulatedEtcd.SendListener sendListener = EmulatedEtcd.SendListener.NONE;
   private long clusterId = FIRST_CLUSTER_ID;
-  private long rangeRequests;
+  private long rangeRequestCount;
 
-  /** Delayed work runs on the executor, which takes the lock itself. */
+  /**
+   * Creates an empty state.
+   *
+   * @param executor runs delayed work; its tasks acquire the lock themselves
+   */
   EtcdState(ScheduledExecutorService executor) {
     this.executor = executor;
   }
@@ -55,16 +59,16 @@
     sendListener = listener;
   }
 
-  long rangeRequests() {
-    return rangeRequests;
+  long rangeRequestCount() {
+    return rangeRequestCount;
   }
 
   void countRangeRequest() {
-    rangeRequests++;
+    rangeRequestCount++;
   }
 
-  /** Watches of another cluster than before. */
-  void changeCluster() {
+  /** Changes the cluster id in all further response headers, as if this were another cluster. */
+  void changeClusterId() {
     clusterId++;
   }
 
@@ -85,23 +89,23 @@
     return Status.NOT_FOUND.withDescription("etcdserver: requested lease not found");
   }
 
-  /** Commits the change that was begun in the store, and sends it to the watches. */
+  /** Commits the pending change of the store and sends its events to the watches. */
   void commit() {
     List<Event> events = store.commit();
     if (!events.isEmpty()) {
-      sendToWatches();
+      sendPendingEvents();
     }
   }
 
-  void sendToWatches() {
+  void sendPendingEvents() {
     List.copyOf(streams).forEach(EtcdWatchStream::sendPending);
   }
 
-  void sendProgress() {
-    List.copyOf(streams).forEach(EtcdWatchStream::sendRequestedProgress);
+  void sendPeriodicProgress() {
+    List.copyOf(streams).forEach(EtcdWatchStream::sendPeriodicProgress);
   }
 
-  void endWatches() {
+  void endWatchStreams() {
     List.copyOf(streams).forEach(stream -> stream.end(noLeader()));
   }
 
@@ -113,18 +117,18 @@
     streams.remove(stream);
   }
 
-  int watches() {
-    return streams.stream().mapToInt(EtcdWatchStream::watches).sum();
+  int watchCount() {
+    return streams.stream().mapToInt(EtcdWatchStream::watchCount).sum();
   }
 
-  /** Ends a lease and deletes its keys. */
+  /** Revokes a lease and deletes the keys attached to it. */
   void revoke(long lease) {
     leases.remove(lease);
     store.begin();
-    for (ByteString key : List.copyOf(store.leased(lease))) {
+    for (ByteString key : List.copyOf(store.keysWithLease(lease))) {
       store.delete(key, ByteString.EMPTY);
     }
-    store.dropLease(lease);
+    store.removeLease(lease);
     commit();
   }
 
--- a/src/main/java/fordridge/emulator/EtcdWatchStream.java
+++ b/src/main/java/fordridge/emulator/EtcdWatchStream.java
@@ -14,21 +14,22 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A client's stream of watches. Its state is guarded by the lock of {@link EtcdState}. */
+/** A client's stream of watches. Guarded by the lock of {@link EtcdState}. */
 final class EtcdWatchStream implements StreamObserver<WatchRequest> {
-  /** Progress that a client asks for is about all the watches of its stream. */
+  /** Watch id of the response to a progress request, which covers all watches of the stream. */
   private static final long ALL_WATCHES = -1;
 
+  /** Earlier revisions that are sent again while the fault that repeats events is active. */
   private static final int REPEATED_REVISIONS = 3;
 
   private final EtcdState state;
   private final ServerCallStreamObserver<WatchResponse> responses;
   private final String client = EtcdClientInterceptor.currentClient();
   private final Map<Long, EtcdWatch> watches = new TreeMap<>();
-  private final Deque<WatchResponse> delayed = new ArrayDeque<>();
+  private final Deque<WatchResponse> delayedResponses = new ArrayDeque<>();
   private long lastId;
-  private boolean isOver;
-  private int sentFragments;
+  private boolean isEnded;
+  private int sentEventResponses;
 
   EtcdWatchStream(EtcdState state, ServerCallStreamObserver<WatchResponse> responses) {
     this.state = state;
@@ -36,13 +37,13 @@
     responses.setOnCancelHandler(this::cancelled);
   }
 
-  int watches() {
+  int watchCount() {
     return watches.size();
   }
 
   private void cancelled() {
     synchronized (state) {
-      isOver = true;
+      isEnded = true;
       state.remove(this);
     }
   }
@@ -72,7 +73,7 @@
       return state.store().revision() + 1;
     }
     if (state.faults().repeatsEvents) {
-      return Math.max(state.store().compacted() + 1, startRevision - REPEATED_REVISIONS);
+      return Math.max(state.store().compactedRevision() + 1, startRevision - REPEATED_REVISIONS);
     }
     return startRevision;
   }
@@ -87,10 +88,10 @@
     return WatchResponse.newBuilder().setHeader(state.header()).setWatchId(id);
   }
 
-  /** Sends progress to the watches that want it now and then. */
-  void sendRequestedProgress() {
+  /** Sends progress notifications to the watches that asked for periodic ones. */
+  void sendPeriodicProgress() {
     for (EtcdWatch watch : List.copyOf(watches.values())) {
-      if (watch.wantsProgress()) {
+      if (watch.wantsPeriodicProgress()) {
         sendProgress(watch.id());
       }
     }
@@ -99,25 +100,25 @@
   private void sendProgress(long id) {
     long revision = state.store().revision();
     boolean isCaughtUp = watches.values().stream().allMatch(watch -> watch.isCaughtUp(revision));
-    if (!state.faults().isSilent && isCaughtUp && delayed.isEmpty()) {
+    if (!state.faults().isSilent && isCaughtUp && delayedResponses.isEmpty()) {
       send(response(id).build());
     }
   }
 
-  /** Sends each watch the events that it was not sent yet. */
+  /** Sends each watch its unsent events. */
   void sendPending() {
-    if (state.faults().isSilent || isOver) {
+    if (state.faults().isSilent || isEnded) {
       return;
     }
     for (EtcdWatch watch : List.copyOf(watches.values())) {
       try {
-        sendFragments(watch, watch.takePending(state.store()));
+        sendFragments(watch, watch.takePendingEvents(state.store()));
       } catch (MvccStore.RevisionUnavailableException e) {
         watches.remove(watch.id());
         send(
             response(watch.id())
                 .setCanceled(true)
-                .setCompactRevision(state.store().compacted())
+                .setCompactRevision(state.store().compactedRevision())
                 .setCancelReason("etcdserver: mvcc: required revision has been compacted")
                 .build());
       }
@@ -125,7 +126,7 @@
   }
 
   private void sendFragments(EtcdWatch watch, List<Event> events) {
-    int size = watch.allowsFragments() ? state.faults().fragmentEvents : Integer.MAX_VALUE;
+    int size = watch.allowsFragments() ? state.faults().maxEventsPerFragment : Integer.MAX_VALUE;
     for (int start = 0; start < events.size(); start += size) {
       int end = (int) Math.min(events.size(), (long) start + size);
       send(
@@ -133,9 +134,9 @@
               .setFragment(end < events.size())
               .addAllEvents(events.subList(start, end))
               .build());
-      sentFragments++;
+      sentEventResponses++;
       if (isResetDue()) {
-        state.faults().resetAfterFragments = 0;
+        state.faults().fragmentsBeforeReset = 0;
         end(Status.UNAVAILABLE.withDescription("transport is closing"));
         return;
       }
@@ -143,30 +144,30 @@
   }
 
   private boolean isResetDue() {
-    int resetAfter = state.faults().resetAfterFragments;
-    return resetAfter > 0 && sentFragments >= resetAfter;
+    int resetAfter = state.faults().fragmentsBeforeReset;
+    return resetAfter > 0 && sentEventResponses >= resetAfter;
   }
 
   private void send(WatchResponse response) {
-    if (isOver) {
+    if (isEnded) {
       return;
     }
     long delayMillis = state.faults().eventDelayMillis;
     boolean isDelayed = delayMillis > 0 && response.getEventsCount() > 0;
-    // What follows a delayed response waits behind it.
-    if (!isDelayed && delayed.isEmpty()) {
+    // A response must not overtake a delayed one, so it is queued behind it.
+    if (!isDelayed && delayedResponses.isEmpty()) {
       write(response);
       return;
     }
-    delayed.addLast(response);
+    delayedResponses.addLast(response);
     Timers.schedule(
         state.executor(), Duration.ofMillis(Math.max(1, delayMillis)), this::sendFirstDelayed);
   }
 
   private void sendFirstDelayed() {
     synchronized (state) {
-      WatchResponse first = delayed.pollFirst();
-      if (first != null && !isOver) {
+      WatchResponse first = delayedResponses.pollFirst();
+      if (first != null && !isEnded) {
         write(first);
       }
     }
@@ -182,8 +183,8 @@
 
   /** Ends the stream with an error. */
   void end(Status reason) {
-    if (!isOver) {
-      isOver = true;
+    if (!isEnded) {
+      isEnded = true;
       state.remove(this);
       responses.onError(reason.asRuntimeException());
     }
@@ -197,7 +198,7 @@
   @Override
   public void onCompleted() {
     synchronized (state) {
-      if (!isOver) {
+      if (!isEnded) {
         cancelled();
         responses.onCompleted();
       }
--- a/src/main/java/fordridge/emulator/FaultTimeline.java
+++ b/src/main/java/fordridge/emulator/FaultTimeline.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.concurrent.ScheduledExecutorService;
 
-/** Runs the steps of faults when they are due, on one thread, and records those that fail. */
+/** Runs the steps of faults at their scheduled times on one thread, and records failed steps. */
 final class FaultTimeline {
   private static final String SOURCE = "faults";
 
@@ -18,11 +18,11 @@
     this.recorder = recorder;
   }
 
-  void after(Duration delay, Runnable step) {
+  void runAfter(Duration delay, Runnable step) {
     Timers.schedule(executor, Duration.ofMillis(delay.toMillis()), () -> run(step));
   }
 
-  void recordBegin(FaultPlan fault) {
+  void recordBegin(ScenarioFault fault) {
     recorder
         .event(SOURCE, RecordKind.FAULT_BEGINS)
         .with(RecordField.FAULT_KIND, fault.kind().text())
--- a/src/main/java/fordridge/emulator/RequestedVm.java
+++ b/src/main/java/fordridge/emulator/RequestedVm.java
@@ -3,18 +3,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A VM as its client sees it, over all the times that it is requested. Times are microseconds of
- * the recording.
+ * A VM from its client's point of view, across all requests for it. Times are in microseconds of
+ * the recording's clock.
  */
 final class RequestedVm {
-  /** The client's own name for it, the same over all requests. */
+  /** The client's name for the VM, the same in all requests. */
   final String workload;
 
   final ServiceProfile service;
   private final long firstRequestedAtUs;
   private long remainingLifeUs;
-  private int requests;
-  private String vm = "";
+  private int requestCount;
+  private String requestName = "";
   private long deadlineUs;
   private boolean hasRun;
   private long runningSinceUs;
@@ -26,10 +26,10 @@
     remainingLifeUs = lifeUs;
   }
 
-  /** It is requested once more, under a new name. */
-  void requested(long nowUs) {
-    requests++;
-    vm = workload + "." + requests;
+  /** Starts a further request, with a new name and deadline. */
+  void markRequested(long nowUs) {
+    requestCount++;
+    requestName = workload + "." + requestCount;
     deadlineUs = nowUs + TimeUnit.NANOSECONDS.toMicros(startDeadlineNanos());
   }
 
@@ -37,13 +37,13 @@
     return service.priorityClass().startDeadline().toNanos();
   }
 
-  /** Its name in the present request. */
-  String vm() {
-    return vm;
+  /** The name of the VM in the current request. */
+  String requestName() {
+    return requestName;
   }
 
-  int requests() {
-    return requests;
+  int requestCount() {
+    return requestCount;
   }
 
   long timeLeftUs(long nowUs) {
@@ -54,8 +54,8 @@
     return remainingLifeUs;
   }
 
-  /** It runs; true for the first time. */
-  boolean running(long nowUs) {
+  /** Marks the VM as running; returns true for the first time. */
+  boolean markRunning(long nowUs) {
     runningSinceUs = nowUs;
     boolean isFirst = !hasRun;
     hasRun = true;
@@ -66,11 +66,11 @@
     return nowUs - firstRequestedAtUs;
   }
 
-  void ended(long nowUs) {
+  void markEnded(long nowUs) {
     remainingLifeUs -= nowUs - runningSinceUs;
   }
 
-  /** Whether a lost start does no harm, so that it may be requested again. */
+  /** Whether a second run of the VM does no harm, so that it may be requested again. */
   boolean isIdempotent() {
     return service.priorityClass().isIdempotent();
   }
--- a/src/main/java/fordridge/emulator/ScenarioPlan.java
+++ b/src/main/java/fordridge/emulator/ScenarioPlan.java
@@ -20,11 +20,12 @@
 import java.util.Map;
 
 /**
- * A scenario as read from HOCON: the run, the fleet, the clients, the registry and the faults. All
- * of it is checked before anything starts.
+ * The settings of a scenario, read from HOCON: the run, the fleet, the clients, the registry and
+ * the faults. All settings are validated before anything starts.
  *
- * @param deploymentConfig the deployment's part of the file, for the schedulers' own
- * @param deployment the same, read
+ * @param deploymentConfig the deployment section of the file, from which the schedulers'
+ *     configuration file is written
+ * @param deployment the same section as parsed settings
  */
 record ScenarioPlan(
     Run run,
@@ -34,28 +35,33 @@
     Clients clients,
     Registry registry,
     Constraints constraints,
-    List<FaultPlan> faults) {
+    List<ScenarioFault> faults) {
 
   private static final Duration MAX_DURATION = Duration.ofHours(2);
   private static final double DEFAULT_CORES_USE = 0.5;
   private static final double DEFAULT_MEMORY_USE = 0.7;
-  private static final double DEFAULT_SIGMA = 0.5;
+  private static final double DEFAULT_USE_SIGMA = 0.5;
 
   /**
-   * The run as a whole.
+   * The settings of the run as a whole.
    *
-   * @param length while VMs are requested
-   * @param settle the longest wait for the last responses after that
-   * @param isOwnProcess whether the schedulers run in a process of their own
+   * @param length how long VMs are requested
+   * @param maxSettleTime the longest wait for the last responses after that
+   * @param usesSeparateProcess whether the schedulers run in a separate process
    */
-  record Run(String name, long seed, Duration length, Duration settle, boolean isOwnProcess) {}
+  record Run(
+      String name,
+      long seed,
+      Duration length,
+      Duration maxSettleTime,
+      boolean usesSeparateProcess) {}
 
   /**
-   * The machines.
+   * The settings of the machines.
    *
-   * @param spares machines that come up later, by a fault
-   * @param cellSize machines in a cell
-   * @param kindShares the share of each kind of machine
+   * @param spares number of machines that a fault can add later
+   * @param cellSize number of machines in a cell
+   * @param kindShares the relative share of each machine kind
    * @param usageProfiles how VMs use their resources, by priority class
    */
   record Fleet(
@@ -67,64 +73,65 @@
       Map<String, Double> kindShares,
       Map<String, UsageProfile> usageProfiles) {}
 
-  /** What all machines have in common, and the ranges that their own values are drawn from. */
+  /** Settings of all machines, and the ranges from which the values of each one are drawn. */
   record MachineTemplate(
       AdmissionTemplate admission,
       StartUpTemplate startUp,
       Duration sampleInterval,
       DrainPolicy drainPolicy) {}
 
-  /** How offers are examined. */
-  record AdmissionTemplate(Range timeMillis, int queueLimit, boolean preempts) {}
+  /** How a machine examines offers. */
+  record AdmissionTemplate(UniformRange timeMillis, int queueLimit, boolean preempts) {}
 
-  /** How VMs start. */
+  /** How a machine starts VMs. */
   record StartUpTemplate(
-      Range workMillis,
-      Range speed,
+      UniformRange workMillis,
+      UniformRange speed,
       int parallelStarts,
       int cachedPrograms,
       double uncachedFactor) {}
 
   /**
-   * The clients and what they request.
+   * The settings of the clients and their requests.
    *
-   * @param ratePerSecond requests for VMs of all clients
-   * @param batch mean number of VMs that are requested together
-   * @param maxAttempts how often a client requests a VM at most
-   * @param priorityClassShares the share of services in each priority class
+   * @param ratePerSecond mean number of VMs that all clients together request per second
+   * @param meanBatchSize mean number of VMs that a client requests together
+   * @param maxAttempts how many times a client requests a VM at most
+   * @param priorityClassShares the relative share of services in each priority class
    */
   record Clients(
       double ratePerSecond,
       int services,
-      double batch,
-      Range lifeSeconds,
-      Range retryMillis,
+      double meanBatchSize,
+      UniformRange lifeSeconds,
+      UniformRange retryMillis,
       int maxAttempts,
       Map<String, Double> priorityClassShares,
       List<Shape> shapes) {}
 
-  /** What a VM requests. */
+  /** The resources that a VM requests. */
   record Shape(double cores, double memory) {}
 
   /**
-   * The registry that publishes the machine list.
+   * The settings of the registry that publishes the machine list.
    *
-   * @param delay how old the state is that it publishes
+   * @param isInEtcd whether the list is published in etcd rather than in a file
+   * @param delay the age of the published state
    */
   record Registry(boolean isInEtcd, Duration interval, Duration delay) {}
 
   /**
-   * Tenants' constraints.
+   * The tenants' constraints.
    *
-   * @param text in force from the start; empty for none
-   * @param generatedSets how many generated sets follow each other through the store
+   * @param text the constraints that apply from the start; empty for none
+   * @param generatedSets number of generated sets that are published in etcd one after another
    */
   record Constraints(String text, int generatedSets, Duration setInterval) {}
 
   /**
-   * Reads and checks a scenario.
+   * Reads and validates a scenario.
    *
-   * @param overrides keys of the file that the command line replaces
+   * @param overrides settings by key that replace those of the file
    */
   static ScenarioPlan read(File file, Map<String, ?> overrides) throws InvalidSettingsException {
     Config scenario =
@@ -218,7 +225,7 @@
           new UsageProfile(
               readOptional(reader, key + ".cores_use", 10, DEFAULT_CORES_USE),
               readOptional(reader, key + ".memory_use", 10, DEFAULT_MEMORY_USE),
-              readOptional(reader, key + ".sigma", 5, DEFAULT_SIGMA),
+              readOptional(reader, key + ".sigma", 5, DEFAULT_USE_SIGMA),
               priorityClass.fullSpeedUtilization(),
               priorityClass.degradationSpan()));
     }
@@ -269,11 +276,11 @@
         reader.duration("sets.every", Duration.ofMillis(10), MAX_DURATION));
   }
 
-  private static List<FaultPlan> readFaults(ConfigReader reader) {
-    List<FaultPlan> faults = new ArrayList<>();
+  private static List<ScenarioFault> readFaults(ConfigReader reader) {
+    List<ScenarioFault> faults = new ArrayList<>();
     for (ConfigReader fault : reader.objectsWithDefaults("faults", "fault_defaults")) {
       faults.add(
-          new FaultPlan(
+          new ScenarioFault(
               FaultKind.of(fault.oneOf("kind", FaultKind.texts())),
               fault.duration("at", Duration.ZERO, MAX_DURATION),
               fault.duration("for", Duration.ZERO, MAX_DURATION),
@@ -281,7 +288,7 @@
               fault.decimal("size", 0, 1e6),
               fault.decimal("extra", 0, 1e6),
               fault.string("of", 100),
-              FaultPlan.Scope.of(fault.oneOf("by", "any", "zone", "cell", "kind"))));
+              ScenarioFault.Scope.of(fault.oneOf("by", "any", "zone", "cell", "kind"))));
       fault.rejectUnknownKeys();
     }
     for (String key : List.of("kind", "at", "for", "part", "size", "extra", "of", "by")) {
@@ -291,12 +298,12 @@
   }
 
   private static double readOptional(
-      ConfigReader reader, String key, double most, double defaultValue) {
-    return reader.has(key) ? reader.decimal(key, 0, most) : defaultValue;
+      ConfigReader reader, String key, double max, double defaultValue) {
+    return reader.has(key) ? reader.decimal(key, 0, max) : defaultValue;
   }
 
-  private static Range readRange(ConfigReader reader, String key, double least, double most) {
-    return new Range(
-        reader.decimal(key + ".least", least, most), reader.decimal(key + ".most", least, most));
+  private static UniformRange readRange(ConfigReader reader, String key, double min, double max) {
+    return new UniformRange(
+        reader.decimal(key + ".least", min, max), reader.decimal(key + ".most", min, max));
   }
 }
--- a/src/main/java/fordridge/emulator/StoreFaults.java
+++ b/src/main/java/fordridge/emulator/StoreFaults.java
@@ -1,8 +1,8 @@
 package fordridge.emulator;
 
-/** Faults of the emulated etcd. */
+/** Injects faults into the emulated etcd. */
 final class StoreFaults {
-  private static final long RESTORED_REVISIONS_BACK = 50;
+  private static final long REVISIONS_LOST_BY_RESTORE = 50;
   private static final long MIN_RESTORED_REVISION = 2;
 
   private final ScenarioPeers peers;
@@ -13,37 +13,46 @@
     this.timeline = timeline;
   }
 
-  void begin(FaultPlan fault) {
+  void begin(ScenarioFault fault) {
     EmulatedEtcd etcd =
         peers
             .etcd()
             .orElseThrow(
                 () ->
                     new IllegalStateException(
-                        "fault " + fault.kind().text() + " needs registry.in = etcd"));
+                        "fault "
+                            + fault.kind().text()
+                            + " needs registry.in = etcd, but the scenario has registry.in = file"));
     switch (fault.kind()) {
       case ETCD_COMPACT -> etcd.compactNow();
-      case ETCD_CUT -> cut(etcd, fault);
+      case ETCD_CUT -> loseLeader(etcd, fault);
       case ETCD_SILENCE -> {
         etcd.silence(true);
-        timeline.after(fault.length(), () -> etcd.silence(false));
+        timeline.runAfter(fault.length(), () -> etcd.silence(false));
       }
       case ETCD_DELAY -> {
-        etcd.delay((long) fault.size());
-        timeline.after(fault.length(), () -> etcd.delay(0));
+        etcd.setEventDelayMillis((long) fault.size());
+        timeline.runAfter(fault.length(), () -> etcd.setEventDelayMillis(0));
       }
       case ETCD_RESTORE ->
           etcd.restore(
-              Math.max(MIN_RESTORED_REVISION, etcd.revision() - RESTORED_REVISIONS_BACK), false);
+              Math.max(MIN_RESTORED_REVISION, etcd.revision() - REVISIONS_LOST_BY_RESTORE), false);
       case ETCD_LEASES -> etcd.revokeAll();
-      default -> throw new IllegalArgumentException("not a fault of the store: " + fault.kind());
+      default ->
+          throw new IllegalArgumentException(
+              "fault kind "
+                  + fault.kind()
+                  + " does not apply to etcd; valid kinds are ETCD_COMPACT, ETCD_SILENCE, ETCD_CUT,"
+                  + " ETCD_DELAY, ETCD_RESTORE and ETCD_LEASES");
     }
   }
 
-  /** Without a leader for a while, and compacted when it has one again. */
-  private void cut(EmulatedEtcd etcd, FaultPlan fault) {
+  /**
+   * Removes the leader for the fault's length, then compacts the history and restores the leader.
+   */
+  private void loseLeader(EmulatedEtcd etcd, ScenarioFault fault) {
     etcd.leaderless(true);
-    timeline.after(
+    timeline.runAfter(
         fault.length(),
         () -> {
           etcd.compactNow();
