--- a/src/main/java/fordridge/emulator/invariant/ConstraintChecker.java
+++ b/src/main/java/fordridge/emulator/invariant/ConstraintChecker.java
@@ -15,34 +15,41 @@
 import java.util.Optional;
 
 /**
- * Checks tenants' constraints: each offer against what its scheduler had running, by plain counting
- * that shares no code with the scheduler.
+ * Checks each offer against the tenants' constraints. It counts the VMs that the offering scheduler
+ * had running and shares no code with the scheduler's own evaluation of constraints.
  *
- * <p>A VM counts against a bound while it runs at its machine. For {@code near} it counts from its
- * offer until shortly after its end, as the scheduler may not have heard of the end yet. {@code
- * spread within} is not checked: it depends on which machines were open to the scheduler.
+ * <p>A VM counts towards {@code apart} and {@code spread at most} while it runs on its machine. For
+ * {@code near}, a VM that satisfies the constraint counts from its offer until shortly after its
+ * end, as the scheduler may not have received the end yet. {@code spread within} is not checked,
+ * because it depends on which machines were available to the scheduler.
  */
 final class ConstraintChecker {
-  /** How late a scheduler may learn of a VM's end, in microseconds. */
-  private static final long END_NOTICE_US = 1_500_000;
+  /** The longest delay until a scheduler learns of a VM's end, in microseconds. */
+  private static final long END_NOTIFICATION_DELAY_US = 1_500_000;
 
-  /** How late a new set may be in force at every scheduler, in microseconds. */
-  private static final long ROLLOUT_US = 700_000;
+  /**
+   * The longest delay until a published set of constraints is in force at every scheduler, in
+   * microseconds.
+   */
+  private static final long ROLLOUT_DELAY_US = 700_000;
 
   /** A VM offered to a machine. */
   static final class Placement {
-    private final MachineTopology machine;
+    private final ObservedTopology machine;
     private final String tenant;
     private final String priorityClass;
     private final long service;
     boolean isStarted;
-    boolean isOver;
-    long overAtUs;
+    boolean hasEnded;
+    long endedAtUs;
 
-    /** The notice of its end was lost: its scheduler still takes it to run. */
-    boolean isEndLost;
+    /**
+     * Whether the message about the VM's end was lost, so that its scheduler still considers it
+     * running.
+     */
+    boolean isEndNotificationLost;
 
-    Placement(MachineTopology machine, String tenant, String priorityClass, long service) {
+    Placement(ObservedTopology machine, String tenant, String priorityClass, long service) {
       this.machine = machine;
       this.tenant = tenant;
       this.priorityClass = priorityClass;
@@ -50,11 +57,11 @@
     }
 
     private boolean isRunning() {
-      return isStarted && !isOver;
+      return isStarted && !hasEnded;
     }
 
-    private boolean isForgotten(long nowUs) {
-      return isOver && !isEndLost && overAtUs < nowUs - END_NOTICE_US;
+    private boolean isEndKnownToScheduler(long nowUs) {
+      return hasEnded && !isEndNotificationLost && endedAtUs < nowUs - END_NOTIFICATION_DELAY_US;
     }
 
     private boolean isInSameDomain(Placement other, TopologyLevel level) {
@@ -66,68 +73,76 @@
     }
   }
 
-  /** The set in force, after the one before it while that may still be in force somewhere. */
-  private final Deque<List<PlacementConstraint>> sets = new ArrayDeque<>();
+  /**
+   * The published set of constraints last, preceded by the previous set while a scheduler may still
+   * use that one.
+   */
+  private final Deque<List<PlacementConstraint>> constraintSets = new ArrayDeque<>();
 
   private final Map<String, List<Placement>> placementsByScheduler = new HashMap<>();
   private long publishedAtUs;
   private int schedulerCount = 1;
 
-  /** A set is published; for a while the one before it is as good. */
-  void constraintsPublished(String text, int schedulers, long nowUs) {
+  /**
+   * Adds a published set of constraints; the previous set stays acceptable for {@link
+   * #ROLLOUT_DELAY_US}.
+   */
+  void constraintsPublished(String text, int newSchedulerCount, long nowUs) {
     try {
-      sets.addLast(ConstraintParser.parse(text, ConstraintParser.KnownNames.UNCHECKED));
+      constraintSets.addLast(ConstraintParser.parse(text, ConstraintParser.KnownNames.UNCHECKED));
     } catch (ConstraintSyntaxException e) {
-      throw new IllegalArgumentException("constraints in the recording: " + e.messages(), e);
+      throw new IllegalArgumentException(
+          "invalid constraints in the recording:  " + e.messages(), e);
     }
-    if (sets.size() > 2) {
-      sets.removeFirst();
+    if (constraintSets.size() > 2) {
+      constraintSets.removeFirst();
     }
-    schedulerCount = schedulers;
+    schedulerCount = newSchedulerCount;
     publishedAtUs = nowUs;
   }
 
   boolean hasConstraints() {
-    return !sets.isEmpty();
+    return !constraintSets.isEmpty();
   }
 
   /**
-   * Counts an offer from now on.
+   * Checks an offer and adds its VM to those of the scheduler.
    *
-   * @return the constraint that it breaks, if it breaks one in every set that may be in force
+   * @return a violated constraint if the offer violates one in every set that may be in force, else
+   *     empty
    */
   Optional<String> offered(String scheduler, Placement placement, long nowUs) {
     List<Placement> others =
         placementsByScheduler.computeIfAbsent(scheduler, name -> new ArrayList<>());
-    others.removeIf(other -> other.isForgotten(nowUs));
-    if (sets.size() == 2 && nowUs - publishedAtUs > ROLLOUT_US) {
-      sets.removeFirst();
+    others.removeIf(other -> other.isEndKnownToScheduler(nowUs));
+    if (constraintSets.size() == 2 && nowUs - publishedAtUs > ROLLOUT_DELAY_US) {
+      constraintSets.removeFirst();
     }
-    Optional<String> lastBroken = Optional.empty();
+    Optional<String> lastViolated = Optional.empty();
     boolean isAllowedBySomeSet = false;
-    for (List<PlacementConstraint> constraints : sets) {
-      Optional<String> broken = firstBroken(constraints, others, placement);
-      lastBroken = broken.isPresent() ? broken : lastBroken;
-      isAllowedBySomeSet |= broken.isEmpty();
+    for (List<PlacementConstraint> constraints : constraintSets) {
+      Optional<String> violated = firstViolated(constraints, others, placement);
+      lastViolated = violated.isPresent() ? violated : lastViolated;
+      isAllowedBySomeSet |= violated.isEmpty();
     }
     others.add(placement);
-    return isAllowedBySomeSet ? Optional.empty() : lastBroken;
+    return isAllowedBySomeSet ? Optional.empty() : lastViolated;
   }
 
-  private Optional<String> firstBroken(
+  private Optional<String> firstViolated(
       List<PlacementConstraint> constraints, List<Placement> others, Placement placement) {
     for (PlacementConstraint constraint : constraints) {
-      if (constraint.isRequired() && !isKept(constraint, others, placement)) {
+      if (constraint.isRequired() && !isSatisfied(constraint, others, placement)) {
         return Optional.of("constraint '" + constraint.name() + "' (" + constraint.clause() + ")");
       }
     }
     return Optional.empty();
   }
 
-  private boolean isKept(
+  private boolean isSatisfied(
       PlacementConstraint constraint, List<Placement> others, Placement placement) {
     if (constraint.clause() instanceof PlacementConstraint.AntiAffinity antiAffinity) {
-      return isApart(constraint.scope(), antiAffinity, others, placement);
+      return satisfiesAntiAffinity(constraint.scope(), antiAffinity, others, placement);
     }
     if (!placement.isCoveredBy(constraint.scope())) {
       return true;
@@ -136,15 +151,15 @@
       return placement.machine.satisfies(labels.predicate());
     }
     if (constraint.clause() instanceof PlacementConstraint.SpreadLimit spread) {
-      return isUnderLimit(constraint.scope(), spread, others, placement);
+      return satisfiesSpreadLimit(constraint.scope(), spread, others, placement);
     }
     if (constraint.clause() instanceof PlacementConstraint.Affinity affinity) {
-      return isNear(affinity, others, placement);
+      return satisfiesAffinity(affinity, others, placement);
     }
     return true;
   }
 
-  private static boolean isApart(
+  private static boolean satisfiesAntiAffinity(
       Scope scope,
       PlacementConstraint.AntiAffinity antiAffinity,
       List<Placement> others,
@@ -162,12 +177,12 @@
     return true;
   }
 
-  private boolean isUnderLimit(
+  private boolean satisfiesSpreadLimit(
       Scope scope,
       PlacementConstraint.SpreadLimit spread,
       List<Placement> others,
       Placement placement) {
-    // An overall limit is divided among the schedulers, at least one for each.
+    // A cluster-wide limit is divided among the schedulers; each may run at least one VM.
     int limit =
         spread.clusterWide() ? Math.max(1, spread.limit() / schedulerCount) : spread.limit();
     long count =
@@ -180,11 +195,11 @@
     return count < limit;
   }
 
-  private static boolean isNear(
+  private static boolean satisfiesAffinity(
       PlacementConstraint.Affinity affinity, List<Placement> others, Placement placement) {
-    boolean hasNeighbour =
+    boolean hasRunningPeer =
         others.stream().anyMatch(other -> other.isRunning() && other.isCoveredBy(affinity.other()));
-    return !hasNeighbour
+    return !hasRunningPeer
         || others.stream()
             .anyMatch(
                 other ->
--- a/src/main/java/fordridge/emulator/invariant/ConstraintInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/ConstraintInvariant.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * No offer breaks a tenant's required constraint. Only checked once a set of constraints was
- * published; offers before the first set are not counted.
+ * Checks that no offer violates a required constraint of a tenant. Offers before the first
+ * published set of constraints are not checked.
  */
 final class ConstraintInvariant {
   private final ObservedState state;
@@ -36,19 +36,19 @@
     ObservedMachine machine = state.machine(attempt.machine);
     ConstraintChecker.Placement placement =
         new ConstraintChecker.Placement(
-            new MachineTopology(machine.name, machine.kind, machine.zone, machine.cell),
+            new ObservedTopology(machine.name, machine.kind, machine.zone, machine.cell),
             attempt.tenant,
             attempt.priorityClass,
             attempt.service);
     placements.put(attempt, placement);
-    findings.count(Figure.OFFERS_CHECKED_AGAINST_CONSTRAINTS);
+    findings.increment(Figure.OFFERS_CHECKED_AGAINST_CONSTRAINTS);
     checker
         .offered(attempt.scheduler, placement, attempt.offeredAtUs)
         .ifPresent(
-            broken ->
-                findings.violated(
+            violated ->
+                findings.addViolation(
                     TENANT_CONSTRAINTS_RESPECTED,
-                    attempt.vm + " offered to " + attempt.machine + " against " + broken));
+                    attempt.vm + " offered to " + attempt.machine + " against " + violated));
   }
 
   void attemptStarted(ObservedAttempt attempt) {
@@ -58,19 +58,22 @@
     }
   }
 
-  /** The end of a VM that its scheduler takes to run was lost on the way. */
-  void endLost(ObservedAttempt attempt) {
+  /**
+   * Records that the message about a VM's end was lost while its scheduler considers the VM
+   * running.
+   */
+  void endNotificationLost(ObservedAttempt attempt) {
     ConstraintChecker.Placement placement = placements.get(attempt);
     if (placement != null) {
-      placement.isEndLost = true;
+      placement.isEndNotificationLost = true;
     }
   }
 
-  void attemptOver(ObservedAttempt attempt, long nowUs) {
+  void attemptEnded(ObservedAttempt attempt, long nowUs) {
     ConstraintChecker.Placement placement = placements.get(attempt);
     if (placement != null) {
-      placement.isOver = true;
-      placement.overAtUs = nowUs;
+      placement.hasEnded = true;
+      placement.endedAtUs = nowUs;
     }
   }
 }
--- a/src/main/java/fordridge/emulator/invariant/DrainInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/DrainInvariant.java
@@ -8,12 +8,13 @@
 import java.util.Map;
 
 /**
- * No scheduler offers to a machine that drains or is gone, the grace after it could know aside. A
- * scheduler that watches the store can know from when the store sent it the change; one that reads
- * a file, from when the list was published and the poll interval has passed.
+ * Checks that no scheduler offers a VM to a draining or removed machine later than the grace period
+ * after the scheduler could know. A scheduler that watches the store can know once the store has
+ * sent it the change; one that reads the machine list from a file can know one poll interval after
+ * the list was published.
  */
 final class DrainInvariant {
-  /** The store has one record for the machine and one for its drain. */
+  /** Identifies a record in the store; a machine has one for itself and one for its drain. */
   private record StoreRecord(String subject, String machine) {}
 
   private static final String MACHINE_RECORD = "machine";
@@ -22,8 +23,11 @@
   private final ObservedState state;
   private final Findings findings;
 
-  /** For each scheduler that watches the store, since when it was sent that a machine is closed. */
-  private final Map<String, Map<StoreRecord, Long>> closedSinceUs = new HashMap<>();
+  /**
+   * For each scheduler that watches the store: when the store sent it the record that made a
+   * machine unavailable, in microseconds.
+   */
+  private final Map<String, Map<StoreRecord, Long>> unavailableSinceUs = new HashMap<>();
 
   DrainInvariant(ObservedState state, Findings findings) {
     this.state = state;
@@ -31,66 +35,68 @@
   }
 
   void snapshotSent(RecordedEvent event) {
-    closedSinceUs.put(event.text(RecordField.SCHEDULER), new HashMap<>());
+    unavailableSinceUs.put(event.text(RecordField.SCHEDULER), new HashMap<>());
   }
 
   void changeSent(RecordedEvent event) {
-    Map<StoreRecord, Long> known =
-        closedSinceUs.computeIfAbsent(
+    Map<StoreRecord, Long> unavailable =
+        unavailableSinceUs.computeIfAbsent(
             event.text(RecordField.SCHEDULER), scheduler -> new HashMap<>());
     StoreRecord changed =
         new StoreRecord(event.text(RecordField.SUBJECT), event.text(RecordField.MACHINE));
     if (event.isTrue(RecordField.IS_CLOSED)) {
-      known.putIfAbsent(changed, event.timeUs());
+      unavailable.putIfAbsent(changed, event.timeUs());
     } else {
-      known.remove(changed);
+      unavailable.remove(changed);
     }
   }
 
   void attemptOffered(ObservedAttempt attempt) {
-    Map<StoreRecord, Long> known = closedSinceUs.get(attempt.scheduler);
-    if (known != null) {
-      checkAfterChangeSent(attempt, known);
+    Map<StoreRecord, Long> unavailable = unavailableSinceUs.get(attempt.scheduler);
+    if (unavailable != null) {
+      checkAfterChangeSent(attempt, unavailable);
     } else {
-      checkAfterPublished(attempt);
+      checkAfterListPublished(attempt);
     }
   }
 
-  private void checkAfterChangeSent(ObservedAttempt attempt, Map<StoreRecord, Long> known) {
-    Long drain = known.get(new StoreRecord(DRAIN_RECORD, attempt.machine));
-    Long gone = known.get(new StoreRecord(MACHINE_RECORD, attempt.machine));
-    if (drain == null && gone == null) {
+  private void checkAfterChangeSent(ObservedAttempt attempt, Map<StoreRecord, Long> unavailable) {
+    Long drainingSinceUs = unavailable.get(new StoreRecord(DRAIN_RECORD, attempt.machine));
+    Long removedSinceUs = unavailable.get(new StoreRecord(MACHINE_RECORD, attempt.machine));
+    if (drainingSinceUs == null && removedSinceUs == null) {
       return;
     }
     long sinceUs =
-        Math.min(drain == null ? Long.MAX_VALUE : drain, gone == null ? Long.MAX_VALUE : gone);
-    long lateUs = attempt.offeredAtUs - sinceUs;
-    findings.maximum(Figure.LATEST_OFFER_AFTER_DRAIN_SENT_US, lateUs);
-    if (lateUs > state.drainGraceUs()) {
-      findings.violated(
-          DRAIN_RESPECTED, describe(attempt, lateUs) + " ms after the change was sent");
+        Math.min(
+            drainingSinceUs == null ? Long.MAX_VALUE : drainingSinceUs,
+            removedSinceUs == null ? Long.MAX_VALUE : removedSinceUs);
+    long delayUs = attempt.offeredAtUs - sinceUs;
+    findings.recordMaximum(Figure.MAX_OFFER_DELAY_AFTER_DRAIN_SENT_US, delayUs);
+    if (delayUs > state.drainGraceUs()) {
+      findings.addViolation(
+          DRAIN_RESPECTED, describe(attempt, delayUs) + " ms after the change was sent");
     }
   }
 
-  private void checkAfterPublished(ObservedAttempt attempt) {
+  private void checkAfterListPublished(ObservedAttempt attempt) {
     state
         .machine(attempt.machine)
-        .closedAtUs()
+        .unavailableSinceUs()
         .ifPresent(
-            closedAtUs -> {
-              long lateUs = attempt.offeredAtUs - closedAtUs;
-              findings.maximum(Figure.LATEST_OFFER_AFTER_DRAIN_PUBLISHED_US, lateUs);
+            sinceUs -> {
+              long delayUs = attempt.offeredAtUs - sinceUs;
+              findings.recordMaximum(Figure.MAX_OFFER_DELAY_AFTER_DRAIN_PUBLISHED_US, delayUs);
               long allowedUs =
                   state.drainGraceUs() + state.pollIntervalUs() + ObservedState.TOLERANCE_US;
-              if (lateUs > allowedUs) {
-                findings.violated(
+              if (delayUs > allowedUs) {
+                findings.addViolation(
                     DRAIN_RESPECTED,
-                    describe(attempt, lateUs) + " ms after it was listed as closed");
+                    describe(attempt, delayUs) + " ms after it was listed as closed");
               }
             });
   }
 
-  private static String describe(ObservedAttempt attempt, long lateUs) {
-    return attempt.scheduler + " offered to " + attempt.machine + " " + lateUs / 1000;
+  private static String describe(ObservedAttempt attempt, long delayUs) {
+    return attempt.scheduler + " offered to " + attempt.machine + " " + delayUs / 1000;
   }
 }
--- a/src/main/java/fordridge/emulator/invariant/DuplicateEffectInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/DuplicateEffectInvariant.java
@@ -8,15 +8,17 @@
 import java.util.Optional;
 
 /**
- * A VM has one outstanding attempt at a time, and is attempted again only as the retry safety of
- * its priority class allows: a non-idempotent one only if no earlier attempt can have run, one with
- * an idempotency key only in the machines' deduplication domain and window. A rejected VM has not
- * run.
+ * Checks that a VM has one outstanding attempt at a time and is retried only as the retry safety of
+ * its priority class allows. A non-idempotent VM may be retried only if no earlier attempt can have
+ * run; a VM with an idempotency key only within the deduplication domain and window of the earlier
+ * attempt. A VM whose request is rejected must not have run, unless it may safely start again on
+ * any machine.
  */
 final class DuplicateEffectInvariant {
   /**
-   * Attempts time out at the scheduler, which counts from its decision, about this long before they
-   * do at the machine; within it a cancellation may be on its way.
+   * How much earlier an attempt may time out at the scheduler than at its machine, in microseconds.
+   * The scheduler counts from its decision, the machine from the arrival of the offer; during this
+   * time a cancellation may be in transit.
    */
   private static final long CANCELLATION_WINDOW_US = 250_000;
 
@@ -32,11 +34,14 @@
     this.findings = findings;
   }
 
-  /** A VM is offered to a machine; called before the attempt is added to the state. */
+  /**
+   * Checks a new attempt against the earlier ones of its VM. To be called before the attempt is
+   * added to the state.
+   */
   void attemptOffered(ObservedAttempt attempt) {
     for (ObservedAttempt earlier : state.attempts(attempt.vm)) {
       if (earlier.number == attempt.number && earlier.machine.equals(attempt.machine)) {
-        findings.violated(
+        findings.addViolation(
             NO_DUPLICATE_EFFECT, describe(attempt) + " offered twice to " + attempt.machine);
       } else {
         checkNotOutstanding(attempt, earlier);
@@ -57,12 +62,12 @@
     if (isOutstanding && nowUs >= earlier.deadlineUs - CANCELLATION_WINDOW_US) {
       possibleDuplicates.add(new PossibleDuplicate(findings.line(), earlier, nowUs, description));
     } else if (isOutstanding || earlier.isKnownToRun(nowUs, state.toleranceUs(nowUs))) {
-      findings.violated(NO_DUPLICATE_EFFECT, description);
+      findings.addViolation(NO_DUPLICATE_EFFECT, description);
     }
   }
 
   private void checkRetrySafety(ObservedAttempt attempt, ObservedAttempt earlier) {
-    Optional<PriorityClassSettings> settings = state.priorityClass(attempt.priorityClass);
+    Optional<RecordedPriorityClass> settings = state.priorityClass(attempt.priorityClass);
     if (settings.isEmpty() || earlier.hasNeverRun) {
       return;
     }
@@ -70,7 +75,7 @@
       case IDEMPOTENT -> {}
       case IDEMPOTENT_WITH_KEY -> checkIdempotencyKey(attempt, earlier, settings.get());
       case NON_IDEMPOTENT ->
-          findings.violated(
+          findings.addViolation(
               NO_DUPLICATE_EFFECT,
               "attempt "
                   + attempt.number
@@ -85,17 +90,17 @@
   }
 
   private void checkIdempotencyKey(
-      ObservedAttempt attempt, ObservedAttempt earlier, PriorityClassSettings settings) {
+      ObservedAttempt attempt, ObservedAttempt earlier, RecordedPriorityClass settings) {
     String description = "attempt " + attempt.number + " of idempotent " + attempt.vm;
     ObservedMachine machine = state.machine(attempt.machine);
     ObservedMachine earlierMachine = state.machine(earlier.machine);
-    if (!settings.deduplicationDomain().isSame(machine, earlierMachine)) {
-      findings.violated(
+    if (!settings.deduplicationDomain().containsBoth(machine, earlierMachine)) {
+      findings.addViolation(
           NO_DUPLICATE_EFFECT, description + " offered outside its deduplication domain");
     }
     long windowEndUs = earlier.offeredAtUs + settings.deduplicationWindowUs();
     if (attempt.offeredAtUs > windowEndUs + ObservedState.TOLERANCE_US) {
-      findings.violated(
+      findings.addViolation(
           NO_DUPLICATE_EFFECT, description + " offered after its deduplication window");
     }
   }
@@ -104,53 +109,62 @@
     return "attempt " + attempt.number + " of " + attempt.vm;
   }
 
-  /** A VM started for the first time in this attempt; the state has it already. */
+  /**
+   * Checks the first start of an attempt. To be called after the attempt's start is in the state.
+   */
   void attemptStarted(ObservedAttempt attempt) {
-    Optional<PriorityClassSettings> settings = state.priorityClass(attempt.priorityClass);
+    Optional<RecordedPriorityClass> settings = state.priorityClass(attempt.priorityClass);
     long starts = state.attempts(attempt.vm).stream().filter(ObservedAttempt::isStarted).count();
     boolean isNonIdempotent =
-        settings.isPresent() && settings.get().retrySafety() == RetrySafety.NON_IDEMPOTENT;
+        settings.isPresent() && settings.get().retrySafety() == RecordedRetrySafety.NON_IDEMPOTENT;
     if (isNonIdempotent) {
-      findings.count(Figure.NON_IDEMPOTENT_STARTS);
+      findings.increment(Figure.NON_IDEMPOTENT_STARTS);
       if (starts > 1) {
-        findings.violated(
+        findings.addViolation(
             NO_DUPLICATE_EFFECT,
             "non-idempotent " + attempt.vm + " was started " + starts + " times");
       }
     } else if (starts > 1) {
-      findings.count(Figure.REPEATED_IDEMPOTENT_STARTS);
+      findings.increment(Figure.REPEATED_IDEMPOTENT_STARTS);
     }
   }
 
   void attemptRefused(ObservedAttempt attempt) {
     if (attempt.isStarted()) {
-      findings.violated(NO_DUPLICATE_EFFECT, describe(attempt) + " refused after it was started");
+      findings.addViolation(
+          NO_DUPLICATE_EFFECT, describe(attempt) + " refused after it was started");
     }
   }
 
-  /** A client heard that its VM is rejected: unless it may start again, it has not run. */
+  /**
+   * Checks that a VM whose request was rejected has not run, unless it may safely start again on
+   * any machine.
+   */
   void requestRejected(RecordedEvent event, String priorityClass) {
-    Optional<PriorityClassSettings> settings = state.priorityClass(priorityClass);
-    if (settings.isEmpty() || settings.get().mayStartAgainAnywhere()) {
+    Optional<RecordedPriorityClass> settings = state.priorityClass(priorityClass);
+    if (settings.isEmpty() || settings.get().isRestartSafeAnywhere()) {
       return;
     }
     String vm = ResponseInvariant.qualifiedVm(event);
     for (ObservedAttempt attempt : state.attempts(vm)) {
       if (attempt.isStarted()) {
-        findings.violated(
+        findings.addViolation(
             NO_DUPLICATE_EFFECT,
             vm + " rejected though attempt " + attempt.number + " ran on " + attempt.machine);
       }
     }
   }
 
-  /** The recording is over: no cancellation arrives any more. */
+  /**
+   * Reports the possible duplicates for which the recording has no cancellation in time. To be
+   * called at the end of the recording.
+   */
   void finish() {
     for (PossibleDuplicate possible : possibleDuplicates) {
       long latestCancellationUs = possible.nowUs() + CANCELLATION_WINDOW_US;
       long cancelledAtUs = possible.earlier().cancelledAtUs().orElse(Long.MAX_VALUE);
       if (cancelledAtUs > latestCancellationUs) {
-        findings.violatedAt(possible.line(), NO_DUPLICATE_EFFECT, possible.description());
+        findings.addViolationAt(possible.line(), NO_DUPLICATE_EFFECT, possible.description());
       }
     }
   }
--- a/src/main/java/fordridge/emulator/invariant/FailureDomain.java
+++ b/src/main/java/fordridge/emulator/invariant/FailureDomain.java
@@ -2,9 +2,9 @@
 
 import java.util.Locale;
 
-/** A part of the fleet within which VMs are spread, or idempotency keys are known. */
+/** The level of the topology at which VMs are spread or idempotency keys are shared. */
 enum FailureDomain {
-  /** The domain is not used: VMs are not spread. */
+  /** No domain: VMs are not spread. */
   OFF,
   MACHINE,
   CELL,
@@ -19,11 +19,13 @@
       }
     }
     throw new IllegalArgumentException(
-        "failure domain '" + text + "' is not one of off, machine, cell, zone, all");
+        "failure domain '"
+            + text
+            + "' in the recording is not one of off, machine, cell, zone, all");
   }
 
-  /** Whether both machines are in one domain. */
-  boolean isSame(ObservedMachine first, ObservedMachine second) {
+  /** Whether both machines are in the same domain at this level. */
+  boolean containsBoth(ObservedMachine first, ObservedMachine second) {
     return switch (this) {
       case ALL -> true;
       case ZONE -> first.zone.equals(second.zone);
@@ -32,8 +34,8 @@
     };
   }
 
-  /** The name of the domain of this kind that the machine is in. */
-  String nameFor(ObservedMachine machine) {
+  /** The name of the machine's domain at this level. */
+  String domainName(ObservedMachine machine) {
     return switch (this) {
       case MACHINE -> machine.name;
       case ZONE -> machine.zone;
--- a/src/main/java/fordridge/emulator/invariant/Findings.java
+++ b/src/main/java/fordridge/emulator/invariant/Findings.java
@@ -11,8 +11,10 @@
   private final Map<Figure, Long> figures = new LinkedHashMap<>();
   private long line;
 
-  /** Moves on to a line of the recording; violations are reported at it. */
-  void moveTo(long lineNumber) {
+  /**
+   * Sets the line of the recording at which {@link #addViolation} reports violations from now on.
+   */
+  void setLine(long lineNumber) {
     line = lineNumber;
   }
 
@@ -20,19 +22,19 @@
     return line;
   }
 
-  void violated(Invariant invariant, String description) {
-    violatedAt(line, invariant, description);
+  void addViolation(Invariant invariant, String description) {
+    addViolationAt(line, invariant, description);
   }
 
-  void violatedAt(long lineNumber, Invariant invariant, String description) {
+  void addViolationAt(long lineNumber, Invariant invariant, String description) {
     violations.add(new Violation(invariant, lineNumber, description));
   }
 
-  void count(Figure figure) {
+  void increment(Figure figure) {
     figures.merge(figure, 1L, Long::sum);
   }
 
-  void maximum(Figure figure, long value) {
+  void recordMaximum(Figure figure, long value) {
     figures.merge(figure, value, Math::max);
   }
 
--- a/src/main/java/fordridge/emulator/invariant/Invariant.java
+++ b/src/main/java/fordridge/emulator/invariant/Invariant.java
@@ -1,6 +1,6 @@
 package fordridge.emulator.invariant;
 
-/** The promises of the schedulers that are checked against a recording. */
+/** The guarantees of the schedulers that are checked against a recording. */
 public enum Invariant {
   TIMELY_RESPONSE(1, "one final response in time"),
   NO_DUPLICATE_EFFECT(2, "no duplicate effect"),
@@ -22,7 +22,7 @@
     return number;
   }
 
-  /** What is promised, in a few words. */
+  /** A short title of the guarantee, as shown in the report. */
   public String title() {
     return title;
   }
--- a/src/main/java/fordridge/emulator/invariant/InvariantChecker.java
+++ b/src/main/java/fordridge/emulator/invariant/InvariantChecker.java
@@ -9,11 +9,11 @@
 import java.nio.file.Files;
 
 /**
- * Checks the invariants from a wire recording alone.
+ * Checks the invariants against a wire recording.
  *
- * <p>What a machine did counts even where its answer was lost. What a scheduler was notified of
- * counts from when it was published, plus the time that the settings give a scheduler to see it.
- * Tenants' constraints are checked where the recording has them.
+ * <p>What a machine did counts even where its response was lost. A change of the machine list
+ * counts from when it was sent or published, plus the time that the settings allow a scheduler to
+ * react to it. Tenants' constraints are checked if the recording contains them.
  */
 public final class InvariantChecker {
   private final ObservedState state = new ObservedState();
@@ -27,14 +27,14 @@
 
   private InvariantChecker() {}
 
-  /** Reads a recording and checks it. */
+  /** Reads a recording and checks the invariants. */
   public static Verdict check(File recording) throws IOException {
     InvariantChecker checker = new InvariantChecker();
     try (BufferedReader in = Files.newBufferedReader(recording.toPath())) {
       long lineNumber = 0;
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         lineNumber++;
-        checker.findings.moveTo(lineNumber);
+        checker.findings.setLine(lineNumber);
         if (!line.isBlank()) {
           RecordedEvent event = RecordedEvent.parse(line, lineNumber);
           event.kind().ifPresent(kind -> checker.observe(event, kind));
@@ -77,7 +77,7 @@
           REPEATED ->
           observeClient(event, kind);
       default -> {
-        // The other kinds are for the reader of a recording.
+        // Events of the other kinds are recorded for human readers only.
       }
     }
   }
@@ -88,7 +88,7 @@
       case PRIORITY_CLASS -> state.priorityClassRecorded(event);
       case EMULATOR_STALLED -> {
         state.emulatorStalled(event);
-        findings.maximum(Figure.LONGEST_EMULATOR_STALL_US, event.whole(RecordField.STALL));
+        findings.recordMaximum(Figure.LONGEST_EMULATOR_STALL_US, event.whole(RecordField.STALL));
       }
       case CONSTRAINTS_PUBLISHED -> constraints.constraintsPublished(event);
       default -> throw unexpected(kind);
@@ -97,7 +97,7 @@
 
   private void observeFleet(RecordedEvent event, RecordKind kind) {
     switch (kind) {
-      case MACHINE -> state.machine(event.source()).described(event);
+      case MACHINE -> state.machine(event.source()).setLabels(event);
       case MACHINE_LISTED ->
           state
               .machine(event.text(RecordField.MACHINE))
@@ -106,7 +106,7 @@
       case CHANGE_SENT -> drains.changeSent(event);
       case MACHINE_STARTED -> state.machine(event.source()).started(event);
       case MACHINE_OVERLOADED -> slowStarts.machineOverloaded(event);
-      case CRASH -> crashed(event);
+      case CRASH -> machineCrashed(event);
       default -> throw unexpected(kind);
     }
   }
@@ -129,22 +129,23 @@
 
   private void observeAttempt(RecordedEvent event, RecordKind kind) {
     if (kind == RecordKind.OFFER) {
-      offered(new ObservedAttempt(event));
+      attemptOffered(new ObservedAttempt(event));
       return;
     }
     for (ObservedAttempt attempt : state.attemptsOf(event)) {
       switch (kind) {
         case CANCEL -> attempt.cancelled(event.timeUs());
-        case ACCEPTED -> attempt.isAnswered |= state.isAcceptanceAnAnswer() && isHeard(event);
-        case REFUSED -> refused(attempt, event);
-        case STARTED -> started(attempt, event);
-        case FINISHED -> finished(attempt, event);
+        case ACCEPTED ->
+            attempt.isOutcomeDelivered |= state.respondsOnAcceptance() && isDelivered(event);
+        case REFUSED -> attemptRefused(attempt, event);
+        case STARTED -> attemptStarted(attempt, event);
+        case FINISHED -> attemptFinished(attempt, event);
         default -> throw unexpected(kind);
       }
     }
   }
 
-  private void offered(ObservedAttempt attempt) {
+  private void attemptOffered(ObservedAttempt attempt) {
     duplicates.attemptOffered(attempt);
     state.add(attempt);
     constraints.attemptOffered(attempt);
@@ -153,17 +154,18 @@
     spread.attemptOffered(attempt);
   }
 
-  private void refused(ObservedAttempt attempt, RecordedEvent event) {
+  private void attemptRefused(ObservedAttempt attempt, RecordedEvent event) {
     attempt.hasNeverRun = true;
-    attempt.isAnswered |= isHeard(event);
-    over(attempt, event.timeUs());
+    attempt.isOutcomeDelivered |= isDelivered(event);
+    attemptEnded(attempt, event.timeUs());
     duplicates.attemptRefused(attempt);
   }
 
-  private void started(ObservedAttempt attempt, RecordedEvent event) {
-    attempt.isAnswered |= isHeard(event);
+  private void attemptStarted(ObservedAttempt attempt, RecordedEvent event) {
+    attempt.isOutcomeDelivered |= isDelivered(event);
     if (attempt.isStarted()) {
-      // The answer is repeated after a repeated offer or to a scheduler that reconnected.
+      // The machine repeats this response after a repeated offer and to a scheduler that
+      // reconnected.
       return;
     }
     attempt.started(event.timeUs());
@@ -171,29 +173,29 @@
     duplicates.attemptStarted(attempt);
   }
 
-  private void finished(ObservedAttempt attempt, RecordedEvent event) {
+  private void attemptFinished(ObservedAttempt attempt, RecordedEvent event) {
     attempt.hasNeverRun |=
         event.isFalse(RecordField.HAS_RUN) && event.text(RecordField.END_KIND).equals("CANCELLED");
-    if (!isHeard(event) && attempt.isAnswered) {
-      constraints.endLost(attempt);
+    if (!isDelivered(event) && attempt.isOutcomeDelivered) {
+      constraints.endNotificationLost(attempt);
     }
-    attempt.isAnswered |= isHeard(event);
-    over(attempt, event.timeUs());
+    attempt.isOutcomeDelivered |= isDelivered(event);
+    attemptEnded(attempt, event.timeUs());
   }
 
-  /** The machine counts nothing for the attempt any more. */
-  private void over(ObservedAttempt attempt, long nowUs) {
-    if (attempt.isOver) {
+  /** Marks that the attempt no longer occupies its machine. */
+  private void attemptEnded(ObservedAttempt attempt, long nowUs) {
+    if (attempt.hasEnded) {
       return;
     }
-    attempt.isOver = true;
-    constraints.attemptOver(attempt, nowUs);
-    spread.attemptOver(attempt);
+    attempt.hasEnded = true;
+    constraints.attemptEnded(attempt, nowUs);
+    spread.attemptEnded(attempt);
   }
 
   private void connectionBroken(RecordedEvent event) {
     String scheduler = event.text(RecordField.SCHEDULER);
-    state.forEachOpenAttempt(
+    state.forEachActiveAttempt(
         event.source(),
         attempt -> {
           if (attempt.scheduler.equals(scheduler)) {
@@ -202,12 +204,12 @@
         });
   }
 
-  private void crashed(RecordedEvent event) {
-    state.forEachOpenAttempt(
+  private void machineCrashed(RecordedEvent event) {
+    state.forEachActiveAttempt(
         event.source(),
         attempt -> {
           attempt.connectionBroken(event.timeUs());
-          over(attempt, event.timeUs());
+          attemptEnded(attempt, event.timeUs());
         });
   }
 
@@ -224,7 +226,7 @@
             .count());
   }
 
-  private static boolean isHeard(RecordedEvent event) {
+  private static boolean isDelivered(RecordedEvent event) {
     return !event.isTrue(RecordField.IS_LOST);
   }
 
--- a/src/main/java/fordridge/emulator/invariant/ObservedAttempt.java
+++ b/src/main/java/fordridge/emulator/invariant/ObservedAttempt.java
@@ -5,8 +5,8 @@
 import java.util.OptionalLong;
 
 /**
- * A placement attempt as its machine saw it: an offer of a VM until its outcome. Times are
- * microseconds of the recording.
+ * A placement attempt as its machine recorded it, from the offer until the end of the VM. Times are
+ * in microseconds since the start of the recording.
  */
 final class ObservedAttempt {
   final String scheduler;
@@ -19,14 +19,14 @@
   final long offeredAtUs;
   final long deadlineUs;
 
-  /** The scheduler can have heard the outcome of the offer. */
-  boolean isAnswered;
+  /** Whether a response with the outcome of the offer was delivered to the scheduler. */
+  boolean isOutcomeDelivered;
 
-  /** The machine said that the VM has never run. */
+  /** Whether the machine reported that the VM has never run. */
   boolean hasNeverRun;
 
-  /** The machine counts nothing for the VM any more. */
-  boolean isOver;
+  /** Whether the VM no longer occupies the machine: refused, ended, or lost in a crash. */
+  boolean hasEnded;
 
   private OptionalLong startedAtUs = OptionalLong.empty();
   private OptionalLong connectionBrokenAtUs = OptionalLong.empty();
@@ -44,8 +44,11 @@
     deadlineUs = offeredAtUs + offer.whole(RecordField.TIME_LEFT_AT_OFFER);
   }
 
-  /** Whether the event, recorded at the attempt's machine, is about this attempt. */
-  boolean isSubjectOf(RecordedEvent event) {
+  /**
+   * Whether the event was recorded at the attempt's machine and concerns this attempt. The caller
+   * has matched the VM.
+   */
+  boolean matches(RecordedEvent event) {
     return machine.equals(event.source())
         && number == event.whole(RecordField.ATTEMPT_NUMBER)
         && scheduler.equals(event.text(RecordField.SCHEDULER));
@@ -55,20 +58,20 @@
     return startedAtUs.isPresent();
   }
 
-  /** Whether the scheduler must still take the outcome to be open. */
+  /** Whether the scheduler cannot know the outcome yet and has to wait for it. */
   boolean isOutstanding(long nowUs, long toleranceUs) {
-    return !isAnswered
-        && !isOver
+    return !isOutcomeDelivered
+        && !hasEnded
         && connectionBrokenAtUs.isEmpty()
         && cancelledAtUs.isEmpty()
         && nowUs < deadlineUs - toleranceUs;
   }
 
-  /** Whether the scheduler has heard, longer ago than the tolerance, that the VM runs. */
+  /** Whether the VM runs and the scheduler has known so for longer than the tolerance. */
   boolean isKnownToRun(long nowUs, long toleranceUs) {
     return isStarted()
-        && isAnswered
-        && !isOver
+        && isOutcomeDelivered
+        && !hasEnded
         && connectionBrokenAtUs.isEmpty()
         && nowUs > startedAtUs.getAsLong() + toleranceUs;
   }
@@ -77,7 +80,7 @@
     startedAtUs = OptionalLong.of(nowUs);
   }
 
-  /** When the machine got the first cancellation. */
+  /** When the machine received the first cancellation; empty if it received none. */
   OptionalLong cancelledAtUs() {
     return cancelledAtUs;
   }
--- a/src/main/java/fordridge/emulator/invariant/ObservedMachine.java
+++ b/src/main/java/fordridge/emulator/invariant/ObservedMachine.java
@@ -7,83 +7,95 @@
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 
-/** A machine as the recording shows it. Times are microseconds of the recording. */
+/**
+ * The state of a machine according to the recording. Times are in microseconds since the start of
+ * the recording.
+ */
 final class ObservedMachine {
   final String name;
   String kind = "";
   String zone = "";
   long cell;
 
-  private OptionalLong closedAtUs = OptionalLong.empty();
+  private OptionalLong unavailableSinceUs = OptionalLong.empty();
   private OptionalLong startedAtUs = OptionalLong.empty();
-  private double minWarmingOffers;
+  private double minWarmUpOffers;
   private double overloadMultiple;
   private long overloadSpanUs;
-  private double initialPace;
+  private double initialSpeedShare;
   private long warmUpUs;
   private double fullRatePerSecond;
-  private final Deque<Long> warmingOffersUs = new ArrayDeque<>();
+  private final Deque<Long> warmUpOffersUs = new ArrayDeque<>();
 
   ObservedMachine(String name) {
     this.name = name;
   }
 
-  /** Takes over the topology labels. */
-  void described(RecordedEvent event) {
+  /** Sets the topology labels from the event that describes the machine. */
+  void setLabels(RecordedEvent event) {
     kind = event.text(RecordField.MACHINE_KIND);
     zone = event.text(RecordField.ZONE);
     cell = event.whole(RecordField.CELL);
   }
 
-  /** The registry published a state; only a live machine may be offered VMs. */
+  /** Records a state that the registry published; only a live machine may be offered VMs. */
   void listed(boolean isLive, long nowUs) {
     if (isLive) {
-      closedAtUs = OptionalLong.empty();
-    } else if (closedAtUs.isEmpty()) {
-      closedAtUs = OptionalLong.of(nowUs);
+      unavailableSinceUs = OptionalLong.empty();
+    } else if (unavailableSinceUs.isEmpty()) {
+      unavailableSinceUs = OptionalLong.of(nowUs);
     }
   }
 
-  /** Since when the registry lists the machine as not to be used; empty if it may be used. */
-  OptionalLong closedAtUs() {
-    return closedAtUs;
+  /** Since when the registry has listed the machine as unavailable; empty if it is available. */
+  OptionalLong unavailableSinceUs() {
+    return unavailableSinceUs;
   }
 
-  /** The machine came up and begins to warm up. */
+  /** Records that the machine started and begins to warm up. */
   void started(RecordedEvent event) {
     startedAtUs = OptionalLong.of(event.timeUs());
-    minWarmingOffers = event.real(RecordField.MIN_WARMING_OFFERS);
+    minWarmUpOffers = event.real(RecordField.MIN_WARMING_OFFERS);
     overloadMultiple = event.real(RecordField.OVERLOAD_MULTIPLE);
     overloadSpanUs = event.whole(RecordField.OVERLOAD_SPAN);
-    initialPace = event.real(RecordField.INITIAL_PACE);
+    initialSpeedShare = event.real(RecordField.INITIAL_PACE);
     warmUpUs = event.whole(RecordField.WARM_UP);
     fullRatePerSecond = event.real(RecordField.FULL_RATE);
-    warmingOffersUs.clear();
+    warmUpOffersUs.clear();
   }
 
   boolean isWarmingUp(long nowUs) {
     return startedAtUs.isPresent() && nowUs - startedAtUs.getAsLong() <= warmUpUs;
   }
 
-  /** Time since the machine came up; only for a machine that is warming up. */
+  /**
+   * The time since the machine started; to be called only for a machine that has recorded its
+   * start.
+   */
   long ageUs(long nowUs) {
     return nowUs - startedAtUs.orElseThrow();
   }
 
-  /** Counts an offer to a machine that warms up; the offers within the overload span. */
-  int countWarmingOffer(long nowUs) {
-    warmingOffersUs.addLast(nowUs);
-    while (warmingOffersUs.peekFirst() + overloadSpanUs < nowUs) {
-      warmingOffersUs.removeFirst();
+  /**
+   * Adds an offer to a machine that is warming up, and returns the number of offers within the
+   * overload span.
+   */
+  int addWarmUpOffer(long nowUs) {
+    warmUpOffersUs.addLast(nowUs);
+    while (warmUpOffersUs.peekFirst() + overloadSpanUs < nowUs) {
+      warmUpOffersUs.removeFirst();
     }
-    return warmingOffersUs.size();
+    return warmUpOffersUs.size();
   }
 
-  /** How many offers within the overload span the machine withstands now. */
-  double warmingOfferLimit(long nowUs) {
-    double age = ageUs(nowUs) / (double) Math.max(1, warmUpUs);
-    double pace = Math.min(1, initialPace + (1 - initialPace) * age);
+  /**
+   * The largest number of offers within the overload span that does not overload the machine now.
+   */
+  double warmUpOfferLimit(long nowUs) {
+    double warmUpShare = ageUs(nowUs) / (double) Math.max(1, warmUpUs);
+    double speedShare = Math.min(1, initialSpeedShare + (1 - initialSpeedShare) * warmUpShare);
     double spanSeconds = overloadSpanUs / (double) TimeUnit.SECONDS.toMicros(1);
-    return Math.max(minWarmingOffers, overloadMultiple * fullRatePerSecond * pace * spanSeconds);
+    return Math.max(
+        minWarmUpOffers, overloadMultiple * fullRatePerSecond * speedShare * spanSeconds);
   }
 }
--- a/src/main/java/fordridge/emulator/invariant/ObservedState.java
+++ b/src/main/java/fordridge/emulator/invariant/ObservedState.java
@@ -11,38 +11,41 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** What the recording has shown so far, shared by the invariants. */
+/** The state of the deployment according to the events read so far, shared by the invariants. */
 final class ObservedState {
-  /** Clocks and sockets of different peers are not in step: lateness up to this is no violation. */
+  /**
+   * Delays up to this are no violation, as events at different peers are recorded with different
+   * delays; in microseconds.
+   */
   static final long TOLERANCE_US = 30_000;
 
-  private final Map<String, PriorityClassSettings> priorityClasses = new HashMap<>();
+  private final Map<String, RecordedPriorityClass> priorityClasses = new HashMap<>();
   private final Map<String, ObservedMachine> machines = new LinkedHashMap<>();
   private final Map<String, List<ObservedAttempt>> attemptsByVm = new HashMap<>();
   private final StallHistory stalls = new StallHistory();
   private long drainGraceUs;
   private long pollIntervalUs;
-  private boolean isAcceptanceAnAnswer;
+  private boolean respondsOnAcceptance;
 
   void settingsRecorded(RecordedEvent event) {
     drainGraceUs = event.whole(RecordField.DRAIN_GRACE);
     pollIntervalUs = event.whole(RecordField.POLL_INTERVAL);
-    isAcceptanceAnAnswer = event.text(RecordField.ACCEPTANCE_SIGNAL).equals("accepted");
+    respondsOnAcceptance = event.text(RecordField.ACCEPTANCE_SIGNAL).equals("accepted");
   }
 
   void priorityClassRecorded(RecordedEvent event) {
-    priorityClasses.put(event.text(RecordField.NAME), PriorityClassSettings.of(event));
+    priorityClasses.put(event.text(RecordField.NAME), RecordedPriorityClass.of(event));
   }
 
   void emulatorStalled(RecordedEvent event) {
-    stalls.stalled(event.timeUs(), event.whole(RecordField.STALL));
+    stalls.add(event.timeUs(), event.whole(RecordField.STALL));
   }
 
-  Optional<PriorityClassSettings> priorityClass(String name) {
+  Optional<RecordedPriorityClass> priorityClass(String name) {
     return Optional.ofNullable(priorityClasses.get(name));
   }
 
-  /** How long schedulers may go on offering to a machine after they heard that it drains. */
+  /** How long a scheduler may continue to offer VMs to a machine after it learned of the drain. */
   long drainGraceUs() {
     return drainGraceUs;
   }
@@ -52,12 +55,12 @@
     return pollIntervalUs;
   }
 
-  /** Whether schedulers answer their clients when a machine accepts, before the VM starts. */
-  boolean isAcceptanceAnAnswer() {
-    return isAcceptanceAnAnswer;
+  /** Whether schedulers respond to their clients when a machine accepts, before the VM starts. */
+  boolean respondsOnAcceptance() {
+    return respondsOnAcceptance;
   }
 
-  /** How much lateness at this time is no violation. */
+  /** How late an event at this time may be without a violation. */
   long toleranceUs(long nowUs) {
     return TOLERANCE_US + stalls.longestRecentUs(nowUs);
   }
@@ -70,12 +73,12 @@
     return machines.containsKey(name);
   }
 
-  /** The attempts at a VM so far, in the order of their offers. */
+  /** The attempts to place a VM so far, in the order of their offers. */
   List<ObservedAttempt> attempts(String vm) {
     return attemptsByVm.getOrDefault(vm, List.of());
   }
 
-  /** The attempts at all VMs, a list for each. */
+  /** The attempts of all VMs, one list for each VM. */
   Collection<List<ObservedAttempt>> allAttempts() {
     return attemptsByVm.values();
   }
@@ -84,18 +87,18 @@
     attemptsByVm.computeIfAbsent(attempt.vm, vm -> new ArrayList<>(2)).add(attempt);
   }
 
-  /** The attempts that an event recorded at a machine is about. */
+  /** The attempts that an event recorded at a machine concerns. */
   List<ObservedAttempt> attemptsOf(RecordedEvent event) {
     return attempts(event.text(RecordField.VM)).stream()
-        .filter(attempt -> attempt.isSubjectOf(event))
+        .filter(attempt -> attempt.matches(event))
         .toList();
   }
 
-  /** Does something with each attempt at a machine that is not over. */
-  void forEachOpenAttempt(String machine, Consumer<ObservedAttempt> action) {
+  /** Calls the action for each attempt at a machine that has not ended. */
+  void forEachActiveAttempt(String machine, Consumer<ObservedAttempt> action) {
     for (List<ObservedAttempt> attempts : attemptsByVm.values()) {
       for (ObservedAttempt attempt : attempts) {
-        if (!attempt.isOver && attempt.machine.equals(machine)) {
+        if (!attempt.hasEnded && attempt.machine.equals(machine)) {
           action.accept(attempt);
         }
       }
--- a/src/main/java/fordridge/emulator/invariant/MachineTopology.java
+++ b/src/main/java/fordridge/emulator/invariant/ObservedTopology.java
@@ -3,10 +3,10 @@
 import fordridge.constraint.PlacementConstraint;
 import fordridge.constraint.TopologyLevel;
 
-/** The labels of a machine that constraints refer to. */
-record MachineTopology(String name, String kind, String zone, long cell) {
+/** The recorded labels of a machine to which constraints refer. */
+record ObservedTopology(String name, String kind, String zone, long cell) {
 
-  /** The name of the domain that the machine is in. */
+  /** The name of the machine's domain at a level of the topology. */
   String domain(TopologyLevel level) {
     return switch (level) {
       case MACHINE -> name;
--- a/src/main/java/fordridge/emulator/invariant/ResponseInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/ResponseInvariant.java
@@ -13,16 +13,16 @@
 import java.util.Optional;
 
 /**
- * Every placement request gets one final response before its deadline, and a running VM at most one
- * termination notice. Requests that were withdrawn need none, and a response may come late while
- * its client was disconnected.
+ * Checks that every placement request gets one final response before its deadline, and an accepted
+ * VM at most one termination notice. A withdrawn request needs no response, and the response may be
+ * late if the client was disconnected at the deadline.
  */
 final class ResponseInvariant {
   private static final class ObservedRequest {
     final String priorityClass;
     final long deadlineUs;
     Optional<RecordKind> response = Optional.empty();
-    boolean isClosed;
+    boolean hasEnded;
     boolean isWithdrawn;
 
     ObservedRequest(String priorityClass, long deadlineUs) {
@@ -48,13 +48,16 @@
     this.findings = findings;
   }
 
-  /** The name by which machines know a client's VM. */
+  /**
+   * The name of a client's VM in messages to machines: the client's name, a slash, and the VM's
+   * name.
+   */
   static String qualifiedVm(RecordedEvent clientEvent) {
     return clientEvent.source() + "/" + clientEvent.text(RecordField.VM);
   }
 
   void placementRequested(RecordedEvent event) {
-    findings.count(Figure.REQUESTS);
+    findings.increment(Figure.REQUESTS);
     requestsByVm.put(
         qualifiedVm(event),
         new ObservedRequest(
@@ -82,24 +85,27 @@
     }
   }
 
-  /** A final response arrived; the priority class of its request if it is the first one to it. */
+  /**
+   * Records a final response, and returns the priority class of the request if it is the first
+   * response to it.
+   */
   Optional<String> responded(RecordedEvent event, RecordKind response) {
     String vm = qualifiedVm(event);
     ObservedRequest request = requestsByVm.get(vm);
-    findings.count(figureOf(response));
+    findings.increment(figureOf(response));
     if (request == null) {
-      findings.violated(
+      findings.addViolation(
           TIMELY_RESPONSE, describe(response) + " for " + vm + ", which was not requested");
       return Optional.empty();
     }
     if (request.response.isPresent()) {
-      findings.violated(
+      findings.addViolation(
           TIMELY_RESPONSE,
           describe(response) + " after " + describe(request.response.get()) + " for " + vm);
       return Optional.empty();
     }
     request.response = Optional.of(response);
-    request.isClosed = response != RecordKind.BOUND;
+    request.hasEnded = response != RecordKind.BOUND;
     checkInTime(event, response, request);
     return Optional.of(request.priorityClass);
   }
@@ -124,7 +130,7 @@
     long nowUs = event.timeUs();
     boolean isLate = nowUs > request.deadlineUs + state.toleranceUs(nowUs);
     if (isLate && !request.isWithdrawn && !wasDisconnected(event.source(), request.deadlineUs)) {
-      findings.violated(
+      findings.addViolation(
           TIMELY_RESPONSE,
           describe(response)
               + " for "
@@ -140,30 +146,30 @@
         .anyMatch(span -> span.covers(timeUs, ObservedState.TOLERANCE_US));
   }
 
-  /** A termination notice arrived: the VM ended or is migrated. */
+  /** Records a termination notice: the VM ended or was stopped for migration. */
   void terminated(RecordedEvent event) {
     ObservedRequest request = requestsByVm.get(qualifiedVm(event));
     String vm = event.text(RecordField.VM);
     if (request == null || !request.response.equals(Optional.of(RecordKind.BOUND))) {
-      findings.violated(
+      findings.addViolation(
           TIMELY_RESPONSE, "termination notice without an accepted request for " + vm);
-    } else if (request.isClosed) {
-      findings.violated(TIMELY_RESPONSE, "a second termination notice for " + vm);
+    } else if (request.hasEnded) {
+      findings.addViolation(TIMELY_RESPONSE, "a second termination notice for " + vm);
     } else {
-      request.isClosed = true;
+      request.hasEnded = true;
     }
   }
 
   void sequenceRepeated(RecordedEvent event) {
-    findings.violated(TIMELY_RESPONSE, "a sequence number repeated at " + event.source());
+    findings.addViolation(TIMELY_RESPONSE, "a sequence number repeated at " + event.source());
   }
 
-  /** The recording is over: what was not answered by now never will be. */
+  /** Reports the requests that have no final response at the end of the recording. */
   void finish() {
     requestsByVm.forEach(
         (vm, request) -> {
           if (request.response.isEmpty() && !request.isWithdrawn) {
-            findings.violated(TIMELY_RESPONSE, vm + " has no final response");
+            findings.addViolation(TIMELY_RESPONSE, vm + " has no final response");
           }
         });
   }
--- a/src/main/java/fordridge/emulator/invariant/SlowStartInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/SlowStartInvariant.java
@@ -4,7 +4,10 @@
 
 import fordridge.emulator.record.RecordedEvent;
 
-/** No machine that is warming up gets more offers in its overload span than it withstands. */
+/**
+ * Checks that a machine that is warming up gets no more offers within its overload span than its
+ * limit.
+ */
 final class SlowStartInvariant {
   private final ObservedState state;
   private final Findings findings;
@@ -20,11 +23,11 @@
     if (!machine.isWarmingUp(nowUs)) {
       return;
     }
-    int offers = machine.countWarmingOffer(nowUs);
-    double limit = machine.warmingOfferLimit(nowUs);
-    findings.maximum(Figure.MOST_OFFERS_WHILE_WARMING, offers);
+    int offers = machine.addWarmUpOffer(nowUs);
+    double limit = machine.warmUpOfferLimit(nowUs);
+    findings.recordMaximum(Figure.MAX_OFFERS_DURING_WARM_UP, offers);
     if (offers > limit) {
-      findings.violated(
+      findings.addViolation(
           SLOW_START_RESPECTED,
           offers
               + " offers to "
@@ -37,6 +40,7 @@
   }
 
   void machineOverloaded(RecordedEvent event) {
-    findings.violated(SLOW_START_RESPECTED, event.source() + " was overloaded while warming up");
+    findings.addViolation(
+        SLOW_START_RESPECTED, event.source() + " was overloaded while warming up");
   }
 }
--- a/src/main/java/fordridge/emulator/invariant/SpreadInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/SpreadInvariant.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * No scheduler has more VMs of one service in a failure domain than the spread limit of their
- * priority class allows.
+ * Checks that no scheduler has more VMs of one service in a failure domain than the spread limit of
+ * their priority class allows.
  */
 final class SpreadInvariant {
   private record ServiceOfScheduler(String scheduler, long service) {}
@@ -23,15 +23,15 @@
   }
 
   void attemptOffered(ObservedAttempt attempt) {
-    Optional<PriorityClassSettings> settings = spreadSettings(attempt);
+    Optional<RecordedPriorityClass> settings = spreadSettings(attempt);
     if (settings.isEmpty()) {
       return;
     }
-    String domain = settings.get().spreadDomain().nameFor(state.machine(attempt.machine));
+    String domain = settings.get().spreadDomain().domainName(state.machine(attempt.machine));
     int count = countsFor(attempt).merge(domain, 1, Integer::sum);
-    findings.maximum(Figure.MOST_OF_A_SERVICE_IN_A_DOMAIN, count);
+    findings.recordMaximum(Figure.MAX_VMS_OF_A_SERVICE_IN_A_DOMAIN, count);
     if (count > settings.get().spreadLimit()) {
-      findings.violated(
+      findings.addViolation(
           SPREAD_RESPECTED,
           count
               + " VMs of service "
@@ -43,17 +43,18 @@
     }
   }
 
-  void attemptOver(ObservedAttempt attempt) {
+  void attemptEnded(ObservedAttempt attempt) {
     spreadSettings(attempt)
         .ifPresent(
             settings -> {
               ObservedMachine machine = state.machine(attempt.machine);
-              countsFor(attempt).merge(settings.spreadDomain().nameFor(machine), -1, Integer::sum);
+              countsFor(attempt)
+                  .merge(settings.spreadDomain().domainName(machine), -1, Integer::sum);
             });
   }
 
-  private Optional<PriorityClassSettings> spreadSettings(ObservedAttempt attempt) {
-    return state.priorityClass(attempt.priorityClass).filter(PriorityClassSettings::isSpread);
+  private Optional<RecordedPriorityClass> spreadSettings(ObservedAttempt attempt) {
+    return state.priorityClass(attempt.priorityClass).filter(RecordedPriorityClass::isSpread);
   }
 
   private Map<String, Integer> countsFor(ObservedAttempt attempt) {
--- a/src/main/java/fordridge/emulator/invariant/StallHistory.java
+++ b/src/main/java/fordridge/emulator/invariant/StallHistory.java
@@ -5,23 +5,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When the emulator's own process was kept waiting for a processor: no peer on that host was in
- * time then, so lateness of that length is no violation.
+ * Keeps the recent stalls of the emulator's process, in which it waited for a processor. All peers
+ * on the host may be late by the length of a stall, so such a delay is no violation.
  */
 final class StallHistory {
-  private static final long REMEMBERED_US = TimeUnit.SECONDS.toMicros(1);
+  private static final long RETENTION_US = TimeUnit.SECONDS.toMicros(1);
 
   private record Stall(long endedAtUs, long lengthUs) {}
 
   private final Deque<Stall> stalls = new ArrayDeque<>();
 
-  void stalled(long endedAtUs, long lengthUs) {
+  void add(long endedAtUs, long lengthUs) {
     stalls.addLast(new Stall(endedAtUs, lengthUs));
   }
 
-  /** The longest stall of the last second, zero if there was none. */
+  /** The length of the longest stall that ended within the last second; zero if there was none. */
   long longestRecentUs(long nowUs) {
-    stalls.removeIf(stall -> stall.endedAtUs() < nowUs - REMEMBERED_US);
+    stalls.removeIf(stall -> stall.endedAtUs() < nowUs - RETENTION_US);
     return stalls.stream().mapToLong(Stall::lengthUs).max().orElse(0);
   }
 }
--- a/src/main/java/fordridge/emulator/invariant/Verdict.java
+++ b/src/main/java/fordridge/emulator/invariant/Verdict.java
@@ -7,17 +7,19 @@
 public record Verdict(List<Violation> violations, Map<Figure, Long> figures) {
   private static final int MAX_VIOLATIONS_SHOWN = 5;
 
-  /** Whether no invariant was broken. */
+  /** Whether the recording violates no invariant. */
   public boolean kept() {
     return violations.isEmpty();
   }
 
-  /** A report of several lines: the invariants with their first violations, then the figures. */
+  /**
+   * Formats a report of several lines: each invariant with its first violations, then the figures.
+   */
   public String text() {
     StringBuilder text = new StringBuilder();
     for (Invariant invariant : Invariant.values()) {
       if (isChecked(invariant)) {
-        append(text, invariant);
+        appendInvariant(text, invariant);
       }
     }
     figures.forEach(
@@ -30,7 +32,7 @@
         || figures.containsKey(Figure.OFFERS_CHECKED_AGAINST_CONSTRAINTS);
   }
 
-  private void append(StringBuilder text, Invariant invariant) {
+  private void appendInvariant(StringBuilder text, Invariant invariant) {
     List<Violation> broken =
         violations.stream().filter(violation -> violation.invariant() == invariant).toList();
     text.append(
--- a/src/main/java/fordridge/emulator/invariant/Violation.java
+++ b/src/main/java/fordridge/emulator/invariant/Violation.java
@@ -1,8 +1,8 @@
 package fordridge.emulator.invariant;
 
 /**
- * An invariant that was broken.
+ * A violation of an invariant.
  *
- * @param line the line of the recording at which it was seen, counted from 1
+ * @param line the line of the recording at which it was detected, counted from 1
  */
 public record Violation(Invariant invariant, long line, String description) {}
--- a/src/main/java/fordridge/emulator/machine/ActiveFaults.java
+++ b/src/main/java/fordridge/emulator/machine/ActiveFaults.java
@@ -3,20 +3,24 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** The faults in force at a machine. Not thread-safe: to be changed on the machine's thread. */
+/**
+ * The faults that are injected into a machine. Not thread-safe: to be changed on the machine's
+ * thread.
+ */
 public final class ActiveFaults {
-  /** Whose offers a throttle refuses. */
+  /** The attribute of an offer by which a throttle selects it. */
   public enum ThrottleSubject {
     TENANT,
     PRIORITY_CLASS
   }
 
   /**
-   * Refuses offers of a tenant or a priority class without a reason above a rate.
+   * A limit on the rate of offers of a tenant or priority class; offers above it are refused with
+   * an unspecified reason.
    *
-   * @param name of the tenant or priority class
-   * @param ratePerSecond offers that pass in any second, at least one
-   * @param delay how long a refusal takes
+   * @param name the name of the tenant or priority class
+   * @param ratePerSecond the offers that pass in any second; values below one count as one
+   * @param delay the delay from the examination of an offer to its refusal
    */
   public record Throttle(
       ThrottleSubject subject, String name, double ratePerSecond, Duration delay) {
@@ -38,7 +42,7 @@
     return slowdown;
   }
 
-  /** Work takes this many times as long; 1 ends it. */
+  /** Multiplies the duration of the machine's work by this factor; 1 ends the fault. */
   public void setSlowdown(double factor) {
     slowdown = factor;
   }
@@ -47,7 +51,7 @@
     return failureProbability;
   }
 
-  /** Offers fail at once with this probability; 0 ends it. */
+  /** Lets offers fail with this probability when they are examined; 0 ends the fault. */
   public void setFailureProbability(double probability) {
     failureProbability = probability;
   }
@@ -56,7 +60,10 @@
     return isPaused;
   }
 
-  /** A paused machine does nothing, and makes up for it later. */
+  /**
+   * Pauses or resumes the machine. A paused machine does nothing; events that fell due run after it
+   * resumes.
+   */
   public void setPaused(boolean paused) {
     isPaused = paused;
   }
@@ -65,12 +72,12 @@
     return throttle;
   }
 
-  /** Replaces the throttle. */
+  /** Sets the throttle, replacing the previous one. */
   public void setThrottle(Throttle newThrottle) {
     throttle = Optional.of(newThrottle);
   }
 
-  /** Ends the throttle. */
+  /** Removes the throttle. */
   public void clearThrottle() {
     throttle = Optional.empty();
   }
@@ -79,7 +86,7 @@
     return neighbourCoresShare;
   }
 
-  /** Another program takes this share of the cores; 0 ends it. */
+  /** Lets another program on the host take this share of the cores; 0 ends the fault. */
   public void setNeighbourCoresShare(double share) {
     neighbourCoresShare = share;
   }
@@ -88,7 +95,7 @@
     return usageFactor;
   }
 
-  /** VMs use this many times as much; 1 ends it. */
+  /** Multiplies the resource usage of VMs by this factor; 1 ends the fault. */
   public void setUsageFactor(double factor) {
     usageFactor = factor;
   }
--- a/src/main/java/fordridge/emulator/machine/AdmissionQueue.java
+++ b/src/main/java/fordridge/emulator/machine/AdmissionQueue.java
@@ -12,10 +12,10 @@
  * refuses the offers. Each examination takes time.
  */
 final class AdmissionQueue {
-  /** A probe takes this share of the time of an offer. */
-  private static final double PROBE_SHARE = 0.1;
+  /** The time to examine a probe, as a share of the time to examine an offer. */
+  private static final double PROBE_TIME_SHARE = 0.1;
 
-  /** What waits to be examined: an offer, or a probe if there is no VM. */
+  /** A queued offer, or a queued probe if there is no VM. */
   private record Item(Optional<HostedVm> vm, String scheduler, long probeNumber) {}
 
   private final MachineSpec spec;
@@ -25,13 +25,13 @@
   private final HostedVms vms;
   private final VmLifecycle lifecycle;
   private final MachineListener listener;
-  private final Consumer<HostedVm> startUp;
+  private final Consumer<HostedVm> acceptedVmHandler;
   private final Deque<Item> queue = new ArrayDeque<>();
   private final OfferThrottle throttle = new OfferThrottle();
   private boolean isExamining;
   private boolean isDraining;
 
-  /** Hands the accepted VMs to the start-up. */
+  /** Creates an empty queue that passes accepted VMs to the handler. */
   AdmissionQueue(MachineContext context, Consumer<HostedVm> startUp) {
     spec = context.spec();
     faults = context.faults();
@@ -40,7 +40,7 @@
     vms = context.vms();
     lifecycle = context.lifecycle();
     listener = context.listener();
-    this.startUp = startUp;
+    this.acceptedVmHandler = startUp;
   }
 
   void offered(HostedVm vm) {
@@ -67,7 +67,7 @@
     isDraining = true;
   }
 
-  void restarted() {
+  void reset() {
     queue.clear();
     isExamining = false;
     isDraining = false;
@@ -78,12 +78,12 @@
       return;
     }
     isExamining = true;
-    double share = queue.peekFirst().vm().isPresent() ? 1 : PROBE_SHARE;
+    double share = queue.peekFirst().vm().isPresent() ? 1 : PROBE_TIME_SHARE;
     Duration time = EventQueue.scaled(spec.admission().time(), share * faults.slowdown());
-    events.schedule(events.now().plus(time), this::examined);
+    events.schedule(events.now().plus(time), this::finishExamination);
   }
 
-  private void examined() {
+  private void finishExamination() {
     isExamining = false;
     Item first = queue.pollFirst();
     if (first == null) {
@@ -102,26 +102,26 @@
       lifecycle.fail(vm);
       return;
     }
-    Optional<ActiveFaults.Throttle> throttling = throttling(vm);
-    if (throttling.isPresent()) {
-      refuseLater(vm, throttling.get().delay());
+    Optional<ActiveFaults.Throttle> refusingThrottle = refusingThrottle(vm);
+    if (refusingThrottle.isPresent()) {
+      refuseLater(vm, refusingThrottle.get().delay());
       return;
     }
     if (isDraining || vm.isPastDeadline(events.now())) {
       lifecycle.refuse(vm, RefusalReason.NOT_AVAILABLE);
       return;
     }
-    Optional<RefusalReason> missing = makeRoom(vm);
-    if (missing.isPresent()) {
-      lifecycle.refuse(vm, missing.get());
+    Optional<RefusalReason> shortage = preemptForCapacity(vm);
+    if (shortage.isPresent()) {
+      lifecycle.refuse(vm, shortage.get());
       return;
     }
-    vm.accepted();
+    vm.markAccepted();
     listener.accepted(vm);
-    startUp.accept(vm);
+    acceptedVmHandler.accept(vm);
   }
 
-  private Optional<ActiveFaults.Throttle> throttling(HostedVm vm) {
+  private Optional<ActiveFaults.Throttle> refusingThrottle(HostedVm vm) {
     return faults.throttle().filter(active -> throttle.refuses(active, vm.offer(), events.now()));
   }
 
@@ -135,17 +135,20 @@
         });
   }
 
-  /** Preempts where that helps; what is missing otherwise. */
-  private Optional<RefusalReason> makeRoom(HostedVm vm) {
+  /**
+   * Returns the reason to refuse a VM for lack of resources; empty if it fits or preemption has
+   * made room for it.
+   */
+  private Optional<RefusalReason> preemptForCapacity(HostedVm vm) {
     MachineSpec.Capacity capacity = spec.capacity();
     double missingCores =
-        vms.reserved(vm.requestedCores(), HostedVm::requestedCores)
+        vms.sumOfReserved(vm.requestedCores(), HostedVm::requestedCores)
             - capacity.coresOvercommit() * capacity.cores();
     double missingMemory =
-        vms.reserved(vm.requestedMemory(), HostedVm::requestedMemory)
+        vms.sumOfReserved(vm.requestedMemory(), HostedVm::requestedMemory)
             - capacity.memoryOvercommit() * capacity.memory();
-    boolean isShortOfCores = missingCores > Preemption.ROUNDING;
-    if (!isShortOfCores && missingMemory <= Preemption.ROUNDING) {
+    boolean isShortOfCores = missingCores > Preemption.ROUNDING_TOLERANCE;
+    if (!isShortOfCores && missingMemory <= Preemption.ROUNDING_TOLERANCE) {
       return Optional.empty();
     }
     RefusalReason reason = isShortOfCores ? RefusalReason.NO_CORES : RefusalReason.NO_MEMORY;
--- a/src/main/java/fordridge/emulator/machine/AttemptId.java
+++ b/src/main/java/fordridge/emulator/machine/AttemptId.java
@@ -1,4 +1,6 @@
 package fordridge.emulator.machine;
 
-/** Names a placement attempt: the scheduler, its VM, and the attempt's number for that VM. */
+/**
+ * Identifies a placement attempt by its scheduler, its VM, and the attempt's number for that VM.
+ */
 public record AttemptId(String scheduler, String vm, int number) {}
--- a/src/main/java/fordridge/emulator/machine/DrainPolicy.java
+++ b/src/main/java/fordridge/emulator/machine/DrainPolicy.java
@@ -1,11 +1,11 @@
 package fordridge.emulator.machine;
 
-/** What becomes of the running VMs of a machine that drains. */
+/** How a draining machine treats its running VMs. */
 public enum DrainPolicy {
-  /** They run on until the machine goes down. */
+  /** They keep running until the machine shuts down. */
   NONE,
   /** They are all stopped at once. */
   AT_ONCE,
-  /** They are stopped one after another over the notice. */
+  /** They are stopped one after another, spread evenly over the notice period. */
   PACED
 }
--- a/src/main/java/fordridge/emulator/machine/EventQueue.java
+++ b/src/main/java/fordridge/emulator/machine/EventQueue.java
@@ -7,8 +7,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A machine's virtual time and what is due in it. Events that fall due at the same time run in the
- * order in which they were scheduled. Not thread-safe.
+ * A machine's clock and scheduled events, in virtual time. Events that are due at the same time run
+ * in the order in which they were scheduled. Not thread-safe.
  */
 final class EventQueue {
   private record Event(Duration at, long order, Runnable action) {}
@@ -31,7 +31,10 @@
     return events.isEmpty() ? Optional.empty() : Optional.of(events.peek().at());
   }
 
-  /** Runs what is due until then. While it is paused nothing runs; it is made up for later. */
+  /**
+   * Advances the time and runs the events that fall due. While the machine is paused the time
+   * advances but no event runs; overdue events run on the first call after the pause.
+   */
   void advanceTo(Duration to, BooleanSupplier isPaused) {
     while (!isPaused.getAsBoolean() && !events.isEmpty() && events.peek().at().compareTo(to) <= 0) {
       Event event = events.poll();
@@ -43,7 +46,7 @@
     now = later(now, to);
   }
 
-  /** What falls due is dropped from now on, until {@link #restart}. */
+  /** Discards all events that fall due until the next {@link #restart}. */
   void halt() {
     isHalted = true;
   }
@@ -52,7 +55,10 @@
     return isHalted;
   }
 
-  /** Forgets what is due and goes on from this time, if it isn't past. */
+  /**
+   * Discards all scheduled events and resumes at the given time, or at the present time if that is
+   * later.
+   */
   void restart(Duration at) {
     events.clear();
     isHalted = false;
--- a/src/main/java/fordridge/emulator/machine/HostedVm.java
+++ b/src/main/java/fordridge/emulator/machine/HostedVm.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 
-/** A VM that was offered to a machine, until the machine forgets it. */
+/** A VM that was offered to a machine, kept until some time after its end. */
 public final class HostedVm {
-  /** Where it is in its life on the machine. */
+  /** The state of a VM on its machine. */
   public enum State {
     QUEUED,
     STARTING,
@@ -26,24 +26,24 @@
   private Duration endedAt;
   private double coresShare;
   private double memoryShare;
-  private double swing = 1;
+  private double coresVariation = 1;
 
   /**
-   * A VM that was just offered.
+   * Creates a VM in the state {@link State#QUEUED}.
    *
-   * @param deadline when its scheduler gives it up, in the machine's time
+   * @param deadline when its scheduler abandons the offer, in the machine's virtual time
    */
   public HostedVm(VmOffer offer, Duration deadline) {
     this.offer = offer;
     this.deadline = deadline;
   }
 
-  /** What the scheduler offered. */
+  /** The offer from the scheduler. */
   public VmOffer offer() {
     return offer;
   }
 
-  /** Where it is in its life on the machine. */
+  /** The state of the VM on its machine. */
   public State state() {
     return state;
   }
@@ -60,7 +60,7 @@
     return state == State.RUNNING;
   }
 
-  /** Whether its requested resources are taken. */
+  /** Whether its requested resources are reserved on the machine. */
   boolean isReserved() {
     return state == State.RUNNING || state == State.STARTING;
   }
@@ -69,19 +69,21 @@
     return now.compareTo(deadline) >= 0;
   }
 
-  void accepted() {
+  void markAccepted() {
     state = State.STARTING;
   }
 
-  /** It runs from now on, with these shares of what it requested at full use. */
-  void running(Duration now, double usedCoresShare, double usedMemoryShare) {
+  /**
+   * Marks it as running; it uses these shares of the requested resources, up to the maximum shares.
+   */
+  void markRunning(Duration now, double usedCoresShare, double usedMemoryShare) {
     state = State.RUNNING;
     runningSince = now;
     coresShare = Math.min(MAX_CORES_SHARE, usedCoresShare);
     memoryShare = Math.min(MAX_MEMORY_SHARE, usedMemoryShare);
   }
 
-  void over(State finalState, Duration now) {
+  void markCompleted(State finalState, Duration now) {
     state = finalState;
     endedAt = now;
   }
@@ -98,26 +100,26 @@
     return memoryShare;
   }
 
-  /** Its use of cores varies by this factor from now on. */
-  void swingTo(double factor) {
-    swing = factor;
+  /** Multiplies its use of cores by this factor from now on. */
+  void setCoresVariation(double factor) {
+    coresVariation = factor;
   }
 
-  /** Cores that it would use if the machine had them. */
+  /** The cores that it would use if the machine had enough of them. */
   double coresDemand(double useFactor) {
-    return requestedCores() * coresShare * swing * useFactor;
+    return requestedCores() * coresShare * coresVariation * useFactor;
   }
 
   double usedCores(double useFactor) {
-    return requestedCores() * Math.min(MAX_CORES_SHARE, coresShare * swing * useFactor);
+    return requestedCores() * Math.min(MAX_CORES_SHARE, coresShare * coresVariation * useFactor);
   }
 
-  /** Memory that it uses once it has grown to its full size. */
+  /** The memory that it uses once it has grown to its full size. */
   double memoryDemand(double useFactor) {
     return requestedMemory() * Math.min(MAX_MEMORY_SHARE, memoryShare * useFactor);
   }
 
-  /** Memory that it uses now. */
+  /** The memory that it uses now; it grows from an initial share to its full size. */
   double usedMemory(Duration now, double useFactor) {
     long ageMillis = now.minus(runningSince).toMillis();
     double grown =
--- a/src/main/java/fordridge/emulator/machine/HostedVms.java
+++ b/src/main/java/fordridge/emulator/machine/HostedVms.java
@@ -12,14 +12,15 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The VMs that a machine knows, in the order of their offers. One that is over stays known for a
- * while, so that a repeated offer and a scheduler that reconnects hear what became of it.
+ * The VMs that a machine knows, in the order of their offers. A VM stays known for some time after
+ * it was refused or ended, so that the machine can report its outcome after a repeated offer and to
+ * a scheduler that reconnects.
  */
 final class HostedVms {
-  private static final Duration REMEMBERED_AFTER_END = Duration.ofSeconds(90);
+  private static final Duration RETENTION_AFTER_COMPLETION = Duration.ofSeconds(90);
 
   private final Map<AttemptId, HostedVm> byAttempt = new LinkedHashMap<>();
-  private final Deque<HostedVm> over = new ArrayDeque<>();
+  private final Deque<HostedVm> completed = new ArrayDeque<>();
 
   Optional<HostedVm> find(AttemptId attempt) {
     return Optional.ofNullable(byAttempt.get(attempt));
@@ -29,15 +30,15 @@
     byAttempt.put(vm.offer().attempt(), vm);
   }
 
-  /** It is over in this state; forgets what was over long ago. */
-  void over(HostedVm vm, HostedVm.State finalState, Duration now) {
-    vm.over(finalState, now);
+  /** Moves a VM to a final state and removes the VMs whose retention has expired. */
+  void complete(HostedVm vm, HostedVm.State finalState, Duration now) {
+    vm.markCompleted(finalState, now);
     byAttempt.putIfAbsent(vm.offer().attempt(), vm);
-    over.addLast(vm);
-    while (!over.isEmpty()
-        && over.peekFirst().endedAt().plus(REMEMBERED_AFTER_END).compareTo(now) < 0) {
-      HostedVm forgotten = over.removeFirst();
-      byAttempt.remove(forgotten.offer().attempt(), forgotten);
+    completed.addLast(vm);
+    while (!completed.isEmpty()
+        && completed.peekFirst().endedAt().plus(RETENTION_AFTER_COMPLETION).compareTo(now) < 0) {
+      HostedVm expired = completed.removeFirst();
+      byAttempt.remove(expired.offer().attempt(), expired);
     }
   }
 
@@ -63,8 +64,8 @@
     return all().stream().anyMatch(vm -> vm.isRunning() && vm.offer().service() == service);
   }
 
-  /** A base plus the requests of all VMs that are starting or running. */
-  double reserved(double base, ToDoubleFunction<HostedVm> request) {
+  /** The sum of a base and the requests of all VMs that are starting or running. */
+  double sumOfReserved(double base, ToDoubleFunction<HostedVm> request) {
     double sum = base;
     for (HostedVm vm : all()) {
       if (vm.isReserved()) {
@@ -76,6 +77,6 @@
 
   void clear() {
     byAttempt.clear();
-    over.clear();
+    completed.clear();
   }
 }
--- a/src/main/java/fordridge/emulator/machine/MachineContext.java
+++ b/src/main/java/fordridge/emulator/machine/MachineContext.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** What the parts of one machine's model share. */
+/** The components that the parts of a machine's model share. */
 record MachineContext(
     MachineSpec spec,
     Map<String, UsageProfile> usageProfiles,
--- a/src/main/java/fordridge/emulator/machine/MachineListener.java
+++ b/src/main/java/fordridge/emulator/machine/MachineListener.java
@@ -1,31 +1,31 @@
 package fordridge.emulator.machine;
 
-/** Hears what the machine has to report; called within the calls of {@link MachineModel}. */
+/** Receives the reports of a machine, synchronously within calls to {@link MachineModel}. */
 public interface MachineListener {
-  /** An offer is accepted; the VM will start. */
+  /** An offer was accepted; the VM will start. */
   void accepted(HostedVm vm);
 
-  /** An offer is refused. */
+  /** An offer was refused. */
   void refused(HostedVm vm, RefusalReason reason);
 
-  /** A VM runs. */
+  /** A VM started, or is reported as running again after a repeated offer. */
   void started(HostedVm vm);
 
-  /** A VM ended, or was given up before it ran. */
+  /** A VM ended, or its offer failed or was cancelled before it ran. */
   void finished(HostedVm vm, VmEnd end, boolean hasRun);
 
-  /** A VM would use so many cores and so much memory. */
+  /** A VM's demand for cores and memory was sampled. */
   void usage(HostedVm vm, double cores, double memory);
 
-  /** A VM gets this share of the service it needs. */
+  /** A VM gets less than full service; the share is what it gets. */
   void degraded(HostedVm vm, double share);
 
-  /** This share of the machine's memory is used. */
+  /** The machine is short of memory; the share is the used part of its memory. */
   void memoryPressure(HostedVm vm, double share);
 
-  /** A probe was examined. */
+  /** A probe was examined; the machine's load is to be reported to the scheduler. */
   void loadReport(String scheduler, long probeNumber);
 
-  /** The machine went down under too many offers while it was warming up. */
+  /** The machine crashed from too many offers while it was warming up. */
   void overloaded();
 }
--- a/src/main/java/fordridge/emulator/machine/MachineModel.java
+++ b/src/main/java/fordridge/emulator/machine/MachineModel.java
@@ -7,12 +7,13 @@
 import java.util.Optional;
 
 /**
- * A machine as a model: it examines offers one at a time, starts VMs by and by, warms up after a
- * restart, varies in what its VMs use, evicts, preempts and drains.
+ * A model of a machine. It examines offers one at a time, starts a limited number of VMs in
+ * parallel, warms up after a restart, varies the resource usage of its VMs, and evicts, preempts
+ * and drains VMs.
  *
- * <p>Free of sockets and clocks: the time comes in by {@link #advanceTo}, so that it runs behind a
- * socket or in virtual time alike, and the same seed and inputs give the same run. Not thread-safe.
- * A model, not a measurement of real machines.
+ * <p>It uses neither sockets nor clocks: the caller passes the time to {@link #advanceTo}. It can
+ * therefore run behind a socket or in virtual time, and the same seed and inputs give the same run.
+ * Its parameters do not come from measurements of real machines. Not thread-safe.
  */
 public final class MachineModel {
   private final MachineSpec spec;
@@ -29,9 +30,9 @@
   private long incarnation = 1;
 
   /**
-   * A warm machine at time zero.
+   * Creates a machine that is fully warmed up, at time zero.
    *
-   * @param usageProfiles by priority class
+   * @param usageProfiles the usage profiles by priority class
    */
   public MachineModel(
       MachineSpec spec,
@@ -52,37 +53,42 @@
     usage.sample();
   }
 
-  /** When the machine has something to do next. */
+  /** When the next event of the machine is due; empty if none is scheduled. */
   public Optional<Duration> nextEventAt() {
     return events.nextAt();
   }
 
-  /** Lets time pass. A paused machine does late what fell due meanwhile. */
+  /**
+   * Advances the time and runs the events that fall due. Events that fall due while the machine is
+   * paused run after it resumes.
+   */
   public void advanceTo(Duration time) {
     events.advanceTo(time, faults::isPaused);
   }
 
-  /** The faults in force, to be changed between calls. */
+  /** The injected faults, to be changed between calls. */
   public ActiveFaults faults() {
     return faults;
   }
 
-  /** Counts restarts, from 1. */
+  /** The incarnation of the machine: 1 at first, one more after each restart. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** A VM is offered. A repeated offer is answered as the first one was, and starts nothing. */
+  /**
+   * Receives an offer. A repeated offer starts nothing; the machine reports the VM's present state.
+   */
   public void offered(HostedVm vm) {
     if (events.isHalted()) {
       return;
     }
     Optional<HostedVm> known = vms.find(vm.offer().attempt());
     if (known.isPresent()) {
-      repeatAnswer(known.get());
+      repeatResponse(known.get());
       return;
     }
-    if (!slowStart.withstandsOffer()) {
+    if (!slowStart.addOffer()) {
       events.halt();
       listener.overloaded();
       return;
@@ -90,25 +96,25 @@
     admission.offered(vm);
   }
 
-  private void repeatAnswer(HostedVm vm) {
+  private void repeatResponse(HostedVm vm) {
     switch (vm.state()) {
       case RUNNING -> listener.started(vm);
       case REFUSED -> listener.refused(vm, RefusalReason.NOT_AVAILABLE);
       case ENDED -> listener.finished(vm, VmEnd.FAILED, true);
       case QUEUED, STARTING -> {
-        // The answer to the first offer is still to come.
+        // The response to the first offer will follow.
       }
     }
   }
 
-  /** A scheduler asks for the load; the probe waits in the queue like an offer. */
+  /** Receives a scheduler's request for the load; the probe is queued like an offer. */
   public void probed(String scheduler, long probeNumber) {
     if (!events.isHalted()) {
       admission.probed(scheduler, probeNumber);
     }
   }
 
-  /** A scheduler cancels an offer or stops a VM. */
+  /** Receives a scheduler's request to cancel an offer or stop a VM. */
   public void cancelled(AttemptId attempt) {
     Optional<HostedVm> known = vms.find(attempt);
     if (known.isEmpty() || events.isHalted()) {
@@ -131,12 +137,14 @@
     return vms.ofScheduler(scheduler);
   }
 
-  /** Cores that were not used at the last sample. */
+  /**
+   * The cores that were not used at the last sample; negative if VMs wanted more than there are.
+   */
   public double unusedCores() {
     return usage.unusedCores();
   }
 
-  /** Memory that was not used at the last sample. */
+  /** The memory that was not used at the last sample. */
   public double unusedMemory() {
     return usage.unusedMemory();
   }
@@ -146,17 +154,17 @@
     return usage.utilization();
   }
 
-  /** Cores that no VM has requested, as a registry would know them. */
+  /** The cores that no starting or running VM has requested, as a registry would know them. */
   public double unreservedCores() {
-    return spec.capacity().cores() - vms.reserved(0, HostedVm::requestedCores);
+    return spec.capacity().cores() - vms.sumOfReserved(0, HostedVm::requestedCores);
   }
 
-  /** Memory that no VM has requested, as a registry would know it. */
+  /** The memory that no starting or running VM has requested, as a registry would know it. */
   public double unreservedMemory() {
-    return spec.capacity().memory() - vms.reserved(0, HostedVm::requestedMemory);
+    return spec.capacity().memory() - vms.sumOfReserved(0, HostedVm::requestedMemory);
   }
 
-  /** Accepts nothing more, and stops the running VMs as its drain policy says. */
+  /** Refuses all further offers, and stops the running VMs according to the drain policy. */
   public void drain(Duration notice) {
     admission.drain();
     List<HostedVm> running = vms.running();
@@ -164,16 +172,16 @@
       HostedVm vm = running.get(i);
       double share = (i + 1.0) / running.size();
       switch (spec.drainPolicy()) {
-        case AT_ONCE -> scheduleDrained(vm, events.now());
-        case PACED -> scheduleDrained(vm, events.now().plus(EventQueue.scaled(notice, share)));
+        case AT_ONCE -> scheduleDrainStop(vm, events.now());
+        case PACED -> scheduleDrainStop(vm, events.now().plus(EventQueue.scaled(notice, share)));
         case NONE -> {
-          // It runs until the machine goes down.
+          // The VM keeps running until the machine shuts down.
         }
       }
     }
   }
 
-  private void scheduleDrained(HostedVm vm, Duration at) {
+  private void scheduleDrainStop(HostedVm vm, Duration at) {
     events.schedule(
         at,
         () -> {
@@ -183,14 +191,14 @@
         });
   }
 
-  /** Comes up with nothing running, and begins to warm up. */
+  /** Restarts the machine with no VMs and an empty program cache; it begins to warm up. */
   public void restart(Duration time) {
     incarnation++;
     events.restart(time);
     vms.clear();
     programs.clear();
-    admission.restarted();
-    startUp.restarted();
+    admission.reset();
+    startUp.reset();
     slowStart.restarted();
     usage.sample();
   }
@@ -200,7 +208,7 @@
     programs.clear();
   }
 
-  /** Goes down: it does and answers nothing until it is restarted. */
+  /** Crashes the machine: it runs no events and ignores all requests until it is restarted. */
   public void crash() {
     events.halt();
   }
--- a/src/main/java/fordridge/emulator/machine/MachineRandom.java
+++ b/src/main/java/fordridge/emulator/machine/MachineRandom.java
@@ -6,9 +6,11 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** A machine's random draws, the same for the same seed. */
+/** A machine's random number generator; the same seed gives the same numbers. */
 final class MachineRandom {
+  /** Minus half the variance of the logarithm, so that the mean of the factors is 1. */
   private static final double LOG_MEAN = -0.02;
+
   private static final double LOG_DEVIATION = 0.2;
 
   private final UniformRandomProvider uniform;
@@ -21,7 +23,7 @@
             ZigguratSampler.NormalizedGaussian.of(uniform), LOG_MEAN, LOG_DEVIATION);
   }
 
-  /** Uniform between 0 and 1. */
+  /** A uniform number from 0 (inclusive) to 1 (exclusive). */
   double nextDouble() {
     return uniform.nextDouble();
   }
@@ -30,7 +32,7 @@
     return uniform.nextDouble() < probability;
   }
 
-  /** A factor of mean 1, by which amounts of work vary. */
+  /** A log-normal factor of mean 1, by which amounts of work vary. */
   double nextVariation() {
     return variation.sample();
   }
--- a/src/main/java/fordridge/emulator/machine/MachineSpec.java
+++ b/src/main/java/fordridge/emulator/machine/MachineSpec.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * What does not change about a machine.
+ * The fixed properties of a machine.
  *
  * @param sampleInterval how often usage is sampled and reported
- * @param drainPolicy what becomes of running VMs when the machine drains
+ * @param drainPolicy how the machine treats its running VMs when it drains
  */
 public record MachineSpec(
     String name,
@@ -18,13 +18,13 @@
     Duration sampleInterval,
     DrainPolicy drainPolicy) {
 
-  /** Where the machine stands in the fleet. */
+  /** The kind of the machine and its place in the topology. */
   public record Labels(String kind, String zone, int cell) {}
 
   /**
    * The machine's resources.
    *
-   * @param memory in the unit of the deployment's requests
+   * @param memory the memory, in the unit of the deployment's requests
    * @param coresOvercommit requested cores are accepted up to this multiple of the cores
    * @param memoryOvercommit requested memory is accepted up to this multiple of the memory
    */
@@ -34,25 +34,26 @@
   /**
    * How offers are examined.
    *
-   * @param queueLimit the most offers and probes that wait to be examined
-   * @param time what examining one offer takes
-   * @param preempts whether running VMs of lower priority give way
+   * @param queueLimit an offer is refused if at least this many offers and probes wait to be
+   *     examined
+   * @param time the time to examine one offer
+   * @param preempts whether running VMs of lower priority are preempted for an offer
    */
   public record Admission(int queueLimit, Duration time, boolean preempts) {}
 
   /**
    * How VMs start.
    *
-   * @param parallelStarts the most VMs that start at the same time
-   * @param work what a start takes with a cached program at speed 1
-   * @param speed divides the work
-   * @param cachedPrograms how many programs stay cached after their VMs ended
-   * @param uncachedFactor multiplies the work where the program is not cached
+   * @param parallelStarts the maximum number of VMs that start at the same time
+   * @param work the time that a start takes with a cached program at speed 1
+   * @param speed the speed of the machine, by which the work is divided
+   * @param cachedPrograms the capacity of the program cache, in services
+   * @param uncachedFactor the factor by which the work grows if the program is not cached
    */
   public record StartUp(
       int parallelStarts, Duration work, double speed, int cachedPrograms, double uncachedFactor) {
 
-    /** Starts a second when the machine is warm. */
+    /** The number of starts per second once the machine has warmed up. */
     public double startsPerSecond() {
       return parallelStarts * speed / (work.toNanos() / 1e9);
     }
@@ -61,11 +62,13 @@
   /**
    * How the machine warms up after a restart.
    *
-   * @param initialPace the share of its speed at which it comes up
-   * @param warmUp when it has its full speed, on a straight line
-   * @param overloadMultiple it goes down under more offers than this multiple of what it can start
-   * @param overloadSpan the span over which offers are counted
-   * @param minOffers it withstands so many in the span however slow it is
+   * @param initialPace the share of its full speed right after the restart
+   * @param warmUp the time until it has its full speed; the speed grows linearly
+   * @param overloadMultiple it crashes if it gets more offers than this multiple of the VMs that it
+   *     can start
+   * @param overloadSpan the length of the sliding window over which the offers are counted
+   * @param minOffers the number of offers within the span that never overload it, however slow it
+   *     is
    */
   public record SlowStart(
       double initialPace,
--- a/src/main/java/fordridge/emulator/machine/Preemption.java
+++ b/src/main/java/fordridge/emulator/machine/Preemption.java
@@ -5,16 +5,17 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Chooses the VMs that give way to one of higher priority. */
+/** Chooses the VMs to preempt for a VM of higher priority. */
 final class Preemption {
-  /** Sums of requests may be off by rounding of this size. */
-  static final double ROUNDING = 1e-9;
+  /** The largest rounding error of a sum of requests; a shortage up to it is ignored. */
+  static final double ROUNDING_TOLERANCE = 1e-9;
 
   private Preemption() {}
 
   /**
-   * The VMs to stop so that so many cores and so much memory become free: lower priorities first,
-   * the latest started first among equals. Empty if all of lower priority would not be enough.
+   * The VMs to stop so that the missing cores and memory become free: those of the lowest priority
+   * first, among equal priorities the latest started first. Empty if stopping all VMs of lower
+   * priority would not free enough.
    */
   static Optional<List<HostedVm>> victims(
       List<HostedVm> running, int priority, double missingCores, double missingMemory) {
@@ -38,6 +39,6 @@
   }
 
   private static boolean isEnough(double missingCores, double missingMemory) {
-    return missingCores <= ROUNDING && missingMemory <= ROUNDING;
+    return missingCores <= ROUNDING_TOLERANCE && missingMemory <= ROUNDING_TOLERANCE;
   }
 }
--- a/src/main/java/fordridge/emulator/machine/ProgramCache.java
+++ b/src/main/java/fordridge/emulator/machine/ProgramCache.java
@@ -3,7 +3,7 @@
 import java.util.Iterator;
 import java.util.LinkedHashSet;
 
-/** The services whose programs are cached after their VMs ended, least recently used first. */
+/** An LRU cache of the services whose programs stay on the machine after their VMs ended. */
 final class ProgramCache {
   private final int capacity;
   private final LinkedHashSet<Long> services = new LinkedHashSet<>();
@@ -16,7 +16,7 @@
     return services.contains(service);
   }
 
-  void used(long service) {
+  void recordUse(long service) {
     services.remove(service);
     services.add(service);
     Iterator<Long> leastRecentlyUsed = services.iterator();
--- a/src/main/java/fordridge/emulator/machine/RefusalReason.java
+++ b/src/main/java/fordridge/emulator/machine/RefusalReason.java
@@ -14,7 +14,7 @@
     this.text = text;
   }
 
-  /** The text that stands for it in a recording. */
+  /** The value of the reason in a recording. */
   public String text() {
     return text;
   }
--- a/src/main/java/fordridge/emulator/machine/SlowStartRamp.java
+++ b/src/main/java/fordridge/emulator/machine/SlowStartRamp.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * The speed of a machine after a restart, and how many offers it withstands while it warms up. A
- * machine that was never restarted is warm.
+ * Tracks the warm-up of a machine after a restart: its speed, and the number of offers that
+ * overload it. A machine that was never restarted has its full speed.
  */
 final class SlowStartRamp {
   private final MachineSpec.SlowStart slowStart;
@@ -27,18 +27,18 @@
     recentOffers.clear();
   }
 
-  /** The share of its full speed that the machine has now. */
-  double pace() {
+  /** The present speed as a share of the full speed. */
+  double speedShare() {
     if (restartedAt.isEmpty()) {
       return 1;
     }
     Duration age = events.now().minus(restartedAt.get());
-    double share = (double) age.toNanos() / Math.max(1, slowStart.warmUp().toNanos());
-    return Math.min(1, slowStart.initialPace() + (1 - slowStart.initialPace()) * share);
+    double warmUpShare = (double) age.toNanos() / Math.max(1, slowStart.warmUp().toNanos());
+    return Math.min(1, slowStart.initialPace() + (1 - slowStart.initialPace()) * warmUpShare);
   }
 
-  /** Counts an offer; false if it is one too many. */
-  boolean withstandsOffer() {
+  /** Counts an offer, and returns false if it overloads the machine. */
+  boolean addOffer() {
     if (!isWarmingUp()) {
       return true;
     }
@@ -47,9 +47,9 @@
     while (recentOffers.peekFirst().plus(slowStart.overloadSpan()).compareTo(now) < 0) {
       recentOffers.removeFirst();
     }
-    double startsInSpan =
+    double overloadLimit =
         slowStart.overloadMultiple() * startsPerSecond() * slowStart.overloadSpan().toNanos() / 1e9;
-    return recentOffers.size() <= Math.max(slowStart.minOffers(), startsInSpan);
+    return recentOffers.size() <= Math.max(slowStart.minOffers(), overloadLimit);
   }
 
   private boolean isWarmingUp() {
@@ -57,9 +57,9 @@
         && events.now().minus(restartedAt.get()).compareTo(slowStart.warmUp()) < 0;
   }
 
-  /** Starts a second at the present speed. */
+  /** The number of starts per second at the present speed. */
   private double startsPerSecond() {
     double workSeconds = startUp.work().toNanos() / 1e9;
-    return startUp.parallelStarts() * pace() * startUp.speed() / workSeconds;
+    return startUp.parallelStarts() * speedShare() * startUp.speed() / workSeconds;
   }
 }
--- a/src/main/java/fordridge/emulator/machine/StartUpQueue.java
+++ b/src/main/java/fordridge/emulator/machine/StartUpQueue.java
@@ -5,8 +5,8 @@
 import java.util.Deque;
 
 /**
- * Starts the accepted VMs, a few at a time. A start takes work, more where the program is not
- * cached and while the machine warms up.
+ * Starts the accepted VMs, a limited number at a time. A start takes longer if the program is not
+ * cached or the machine is warming up.
  */
 final class StartUpQueue {
   private final MachineContext context;
@@ -26,12 +26,12 @@
     startNext();
   }
 
-  /** VMs that are being started now. */
+  /** The number of VMs that are being started now. */
   int startingCount() {
     return startingCount;
   }
 
-  void restarted() {
+  void reset() {
     waiting.clear();
     startingCount = 0;
   }
@@ -47,7 +47,7 @@
         continue;
       }
       startingCount++;
-      context.events().schedule(now().plus(startTime(vm)), () -> startDone(vm));
+      context.events().schedule(now().plus(startTime(vm)), () -> finishStart(vm));
     }
   }
 
@@ -60,11 +60,11 @@
             * context.random().nextVariation()
             * context.faults().slowdown()
             / startUp.speed()
-            / slowStart.pace();
+            / slowStart.speedShare();
     return EventQueue.scaled(startUp.work(), factor);
   }
 
-  private void startDone(HostedVm vm) {
+  private void finishStart(HostedVm vm) {
     startingCount--;
     if (vm.state() == HostedVm.State.STARTING) {
       run(vm);
@@ -80,10 +80,10 @@
     UsageProfile profile = context.usageProfiles().get(vm.offer().priorityClass());
     double coresShare = profile.cores() * variation(profile);
     double memoryShare = profile.memory() * variation(profile);
-    vm.running(now(), coresShare, memoryShare);
+    vm.markRunning(now(), coresShare, memoryShare);
     context.listener().started(vm);
     if (vm.offer().runTime().compareTo(Duration.ZERO) > 0) {
-      context.events().schedule(now().plus(vm.offer().runTime()), () -> runTimeOver(vm));
+      context.events().schedule(now().plus(vm.offer().runTime()), () -> finishRunTime(vm));
     }
   }
 
@@ -91,7 +91,7 @@
     return Math.exp(profile.sigma() * (context.random().nextVariation() - 1));
   }
 
-  private void runTimeOver(HostedVm vm) {
+  private void finishRunTime(HostedVm vm) {
     if (vm.isRunning()) {
       context.lifecycle().finish(vm, VmEnd.DONE);
     }
--- a/src/main/java/fordridge/emulator/machine/UsageSampler.java
+++ b/src/main/java/fordridge/emulator/machine/UsageSampler.java
@@ -5,20 +5,20 @@
 import java.util.Optional;
 
 /**
- * Samples the resources that the VMs use: their use varies, memory that runs out evicts VMs, and
- * usage, degraded service and memory pressure are reported for some.
+ * Samples the resources that the VMs use. At each sample it varies the usage, evicts VMs while
+ * memory is short, and reports usage, degraded service and memory pressure for some VMs.
  */
 final class UsageSampler {
-  private static final double SWING_PROBABILITY = 0.1;
-  private static final double MIN_SWING = 0.75;
-  private static final double SWING_RANGE = 0.5;
+  private static final double VARIATION_PROBABILITY = 0.1;
+  private static final double MIN_CORES_VARIATION = 0.75;
+  private static final double CORES_VARIATION_RANGE = 0.5;
 
-  /** Each VM's usage is reported about this often. */
+  /** The mean interval between usage reports of a VM, in milliseconds. */
   private static final double USAGE_REPORT_INTERVAL_MILLIS = 3000;
 
   private static final double PROBLEM_REPORT_PROBABILITY = 0.3;
-  private static final double DEGRADED_BELOW = 0.95;
-  private static final double MEMORY_PRESSURE_ABOVE = 0.85;
+  private static final double DEGRADED_SERVICE_THRESHOLD = 0.95;
+  private static final double MEMORY_PRESSURE_THRESHOLD = 0.85;
 
   private final MachineContext context;
   private final StartUpQueue startUp;
@@ -30,10 +30,10 @@
     this.startUp = startUp;
   }
 
-  /** Samples now and at the machine's interval from then on. */
+  /** Takes a sample now, and schedules the next one after the machine's sample interval. */
   void sample() {
     varyUsage();
-    evictWhileMemoryIsShort();
+    evictUntilMemoryFits();
     sampledCores = usedCores();
     report();
     context
@@ -41,7 +41,9 @@
         .schedule(context.events().now().plus(context.spec().sampleInterval()), this::sample);
   }
 
-  /** Cores that were not used at the last sample; negative if VMs wanted more than there are. */
+  /**
+   * The cores that were not used at the last sample; negative if VMs wanted more than there are.
+   */
   double unusedCores() {
     return context.spec().capacity().cores() - sampledCores;
   }
@@ -57,16 +59,17 @@
 
   private void varyUsage() {
     for (HostedVm vm : context.vms().all()) {
-      if (vm.isRunning() && context.random().nextBoolean(SWING_PROBABILITY)) {
-        vm.swingTo(MIN_SWING + context.random().nextDouble() * SWING_RANGE);
+      if (vm.isRunning() && context.random().nextBoolean(VARIATION_PROBABILITY)) {
+        vm.setCoresVariation(
+            MIN_CORES_VARIATION + context.random().nextDouble() * CORES_VARIATION_RANGE);
       }
     }
   }
 
-  private void evictWhileMemoryIsShort() {
+  private void evictUntilMemoryFits() {
     sampledMemory = usedMemory();
     while (sampledMemory > context.spec().capacity().memory()) {
-      Optional<HostedVm> victim = evictionVictim();
+      Optional<HostedVm> victim = nextEvictionVictim();
       if (victim.isEmpty()) {
         return;
       }
@@ -75,8 +78,11 @@
     }
   }
 
-  /** The running VM of the lowest priority, among equals the one with the largest memory share. */
-  private Optional<HostedVm> evictionVictim() {
+  /**
+   * The running VM of the lowest priority, among equal priorities the one with the largest memory
+   * share.
+   */
+  private Optional<HostedVm> nextEvictionVictim() {
     HostedVm victim = null;
     for (HostedVm vm : context.vms().all()) {
       if (vm.isRunning() && (victim == null || isEvictedBefore(vm, victim))) {
@@ -130,11 +136,12 @@
   private void reportProblems(HostedVm vm) {
     UsageProfile profile = context.usageProfiles().get(vm.offer().priorityClass());
     double share = profile.serviceShare(sampledCores / context.spec().capacity().cores());
-    if (share < DEGRADED_BELOW && context.random().nextBoolean(PROBLEM_REPORT_PROBABILITY)) {
+    if (share < DEGRADED_SERVICE_THRESHOLD
+        && context.random().nextBoolean(PROBLEM_REPORT_PROBABILITY)) {
       context.listener().degraded(vm, share);
     }
     double pressure = sampledMemory / context.spec().capacity().memory();
-    if (pressure > MEMORY_PRESSURE_ABOVE
+    if (pressure > MEMORY_PRESSURE_THRESHOLD
         && context.random().nextBoolean(PROBLEM_REPORT_PROBABILITY)) {
       context.listener().memoryPressure(vm, pressure);
     }
--- a/src/main/java/fordridge/emulator/machine/VmEnd.java
+++ b/src/main/java/fordridge/emulator/machine/VmEnd.java
@@ -15,7 +15,7 @@
     this.text = text;
   }
 
-  /** The text that stands for it in a recording. */
+  /** The value of the kind of end in a recording. */
   public String text() {
     return text;
   }
--- a/src/main/java/fordridge/emulator/machine/VmLifecycle.java
+++ b/src/main/java/fordridge/emulator/machine/VmLifecycle.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Ends VMs and offers, and reports it. */
+/** Moves VMs to their final states, and reports that to the listener. */
 final class VmLifecycle {
   private final EventQueue events;
   private final HostedVms vms;
@@ -16,28 +16,28 @@
     this.listener = listener;
   }
 
-  /** An offer is refused; the VM has not run. */
+  /** Refuses an offer; the VM has not run. */
   void refuse(HostedVm vm, RefusalReason reason) {
-    vms.over(vm, HostedVm.State.REFUSED, now());
+    vms.complete(vm, HostedVm.State.REFUSED, now());
     listener.refused(vm, reason);
   }
 
-  /** An offer fails before the VM ran. */
+  /** Lets an offer fail before the VM ran. */
   void fail(HostedVm vm) {
-    vms.over(vm, HostedVm.State.ENDED, now());
+    vms.complete(vm, HostedVm.State.ENDED, now());
     listener.finished(vm, VmEnd.FAILED, false);
   }
 
-  /** An offer is given up on its scheduler's demand; the VM has not run. */
+  /** Cancels an offer at the request of its scheduler; the VM has not run. */
   void cancel(HostedVm vm) {
-    vms.over(vm, HostedVm.State.REFUSED, now());
+    vms.complete(vm, HostedVm.State.REFUSED, now());
     listener.finished(vm, VmEnd.CANCELLED, false);
   }
 
-  /** A running VM ends; its program stays cached. */
+  /** Ends a running VM; its program stays cached. */
   void finish(HostedVm vm, VmEnd end) {
-    vms.over(vm, HostedVm.State.ENDED, now());
-    programs.used(vm.offer().service());
+    vms.complete(vm, HostedVm.State.ENDED, now());
+    programs.recordUse(vm.offer().service());
     listener.finished(vm, end, true);
   }
 
--- a/src/main/java/fordridge/emulator/machine/VmOffer.java
+++ b/src/main/java/fordridge/emulator/machine/VmOffer.java
@@ -5,8 +5,8 @@
 /**
  * A VM as a scheduler offers it to a machine.
  *
- * @param priority higher ones may preempt lower ones
- * @param runTime how long it runs; zero if it runs until it is stopped
+ * @param priority the priority; a VM of higher priority may preempt VMs of lower priority
+ * @param runTime how long the VM runs; zero if it runs until it is stopped
  */
 public record VmOffer(
     AttemptId attempt,
--- a/src/main/java/fordridge/emulator/record/InvalidRecordingException.java
+++ b/src/main/java/fordridge/emulator/record/InvalidRecordingException.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 
-/** A wire recording that can't be read, with the line at fault. */
+/** Signals that a line of a wire recording is malformed. */
 public final class InvalidRecordingException extends IOException {
   private final long lineNumber;
 
-  /** An error at a line of the recording, counted from 1. */
+  /** Creates an error at a line of the recording, counted from 1. */
   public InvalidRecordingException(long lineNumber, String problem, Throwable cause) {
     super("line " + lineNumber + " of the recording is " + problem, cause);
     this.lineNumber = lineNumber;
   }
 
-  /** The line at fault, counted from 1. */
+  /** The number of the malformed line, counted from 1. */
   public long lineNumber() {
     return lineNumber;
   }
--- a/src/main/java/fordridge/emulator/record/RecordField.java
+++ b/src/main/java/fordridge/emulator/record/RecordField.java
@@ -1,6 +1,9 @@
 package fordridge.emulator.record;
 
-/** The fields of recorded events, with their names in the file. Time spans are microseconds. */
+/**
+ * The fields of recorded events, with their names in the file. Times and durations are in
+ * microseconds.
+ */
 public enum RecordField {
   // Every event.
   TIME("t"),
@@ -20,7 +23,7 @@
   IS_LOST("lost"),
   HELD_COUNT("held"),
   PROBE_NUMBER("probe"),
-  /** What a usage note measures, or which kind of store record a change is about. */
+  /** What a usage note measures, or the kind of store record that a change concerns. */
   SUBJECT("of"),
   AMOUNT("amount"),
   // Messages between clients and schedulers.
@@ -68,7 +71,7 @@
     this.text = text;
   }
 
-  /** The field's name in the file. Two fields may share a name where their events differ. */
+  /** The field's name in the file. Fields of different kinds of events may have the same name. */
   public String text() {
     return text;
   }
--- a/src/main/java/fordridge/emulator/record/RecordKind.java
+++ b/src/main/java/fordridge/emulator/record/RecordKind.java
@@ -6,29 +6,29 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The kinds of events in a wire recording, with the text that stands for each in the file. */
+/** The kinds of events in a wire recording, with their values in the file. */
 public enum RecordKind {
-  /** The deployment settings that the invariants depend on. */
+  /** The deployment settings on which the invariants depend. */
   SETTINGS("terms"),
   /** One priority class of the deployment. */
   PRIORITY_CLASS("flavour"),
-  /** The emulator's own process was kept waiting for a processor. */
+  /** The emulator's process stalled, waiting for a processor. */
   EMULATOR_STALLED("stalled"),
   /** A set of tenant constraints was published. */
   CONSTRAINTS_PUBLISHED("rules"),
   /** A machine of the fleet with its topology labels. */
   MACHINE("machine"),
-  /** The registry published another state of a machine. */
+  /** The registry published a changed state of a machine. */
   MACHINE_LISTED("listed"),
   /** The store sent a scheduler a full snapshot of the machine list. */
   SNAPSHOT_SENT("told-all"),
   /** The store sent a scheduler a change of whether a machine may be used. */
   CHANGE_SENT("told"),
-  /** A machine came up and is warming up. */
+  /** A machine started and begins to warm up. */
   MACHINE_STARTED("born"),
-  /** A warming machine went down under too many offers. */
+  /** A machine crashed from too many offers while it was warming up. */
   MACHINE_OVERLOADED("fell"),
-  /** A machine could not come up again. */
+  /** A machine could not listen at its address again after a restart. */
   MACHINE_START_FAILED("rise-failed"),
   /** A machine's process died. */
   CRASH("crash"),
@@ -38,7 +38,7 @@
   DRAIN("drain"),
   /** A scheduler opened its stream to a machine. */
   GREETING("greeting"),
-  /** A machine reported what it holds for a scheduler. */
+  /** A machine sent a scheduler the inventory of that scheduler's VMs. */
   HOLDING("holding"),
   /** A scheduler offered a VM to a machine. */
   OFFER("offer"),
@@ -56,37 +56,37 @@
   REFUSED("refused"),
   /** A VM started. */
   STARTED("started"),
-  /** A VM ended, or an offer was given up. */
+  /** A VM ended, or its offer failed or was cancelled before it ran. */
   FINISHED("finished"),
   /** A machine reported the usage of a VM. */
   USAGE_NOTE("note"),
   /** A machine reported its load. */
   LOAD_REPORT("report"),
-  /** A fault broke a stream. */
+  /** An injected fault broke a stream. */
   CUT("cut"),
   /** A scheduler closed its stream to a machine. */
   STREAM_CLOSED("stream-closed"),
-  /** A client saw its stream to a scheduler break. */
+  /** A client detected that its stream to a scheduler broke. */
   STREAM_BROKEN("stream-broken"),
   /** A client opened its stream to a scheduler. */
   HELLO("hello"),
-  /** A scheduler took up a client's session. */
+  /** A scheduler opened or resumed a client's session. */
   WELCOME("welcome"),
   /** A client requested a VM. */
   PLACEMENT_REQUESTED("want"),
   /** A client withdrew its request for a VM. */
   REQUEST_WITHDRAWN("unwant"),
-  /** A client heard that its VM runs. */
+  /** A client was notified that its request was accepted. */
   BOUND("bound"),
-  /** A client heard that its VM was rejected. */
+  /** A client was notified that its request was rejected. */
   DENIED("denied"),
-  /** A client heard that its request failed. */
+  /** A client was notified that its request failed. */
   ERRORED("errored"),
-  /** A client heard that its VM ended. */
+  /** A client was notified that its VM ended. */
   ENDED("ended"),
-  /** A client heard that its VM was stopped to be migrated. */
+  /** A client was notified that its VM was stopped for migration. */
   MOVED("moved"),
-  /** A client heard a sequence number twice. */
+  /** A client received a message with a sequence number that it had already received. */
   REPEATED("repeated"),
   /** A scripted fault begins. */
   FAULT_BEGINS("begins"),
@@ -109,7 +109,7 @@
     return text;
   }
 
-  /** The kind with this text, if there is one. */
+  /** The kind with this value in the file; empty if there is none. */
   public static Optional<RecordKind> of(String text) {
     return Optional.ofNullable(BY_TEXT.get(text));
   }
--- a/src/main/java/fordridge/emulator/record/RecordedEvent.java
+++ b/src/main/java/fordridge/emulator/record/RecordedEvent.java
@@ -10,8 +10,9 @@
 import java.util.Optional;
 
 /**
- * One event read back from a wire recording. A field that is missing or of another type reads as
- * zero, false or an empty text, as the recorder leaves out what does not apply.
+ * An event that was read from a wire recording. Events have only the fields that apply to them; a
+ * missing number reads as zero, a missing text as empty, and a missing boolean is neither true nor
+ * false.
  */
 public final class RecordedEvent {
   private static final JsonFactory FACTORY = new JsonFactory();
@@ -23,9 +24,9 @@
   }
 
   /**
-   * Reads an event from its JSON text.
+   * Parses an event from its JSON text.
    *
-   * @param lineNumber the line in the file, for the error
+   * @param lineNumber the line in the file, for the error message
    * @throws InvalidRecordingException if the text is not JSON
    */
   public static RecordedEvent parse(String json, long lineNumber) throws IOException {
@@ -51,12 +52,12 @@
     };
   }
 
-  /** The kind, empty if this version does not know it. */
+  /** The kind of the event; empty if this version does not know it. */
   public Optional<RecordKind> kind() {
     return RecordKind.of(text(RecordField.KIND));
   }
 
-  /** Microseconds since the recording began. */
+  /** The time of the event, in microseconds since the recording began. */
   public long timeUs() {
     return whole(RecordField.TIME);
   }
@@ -66,28 +67,28 @@
     return text(RecordField.SOURCE);
   }
 
-  /** A text, empty if it is missing. */
+  /** The value of a field as text; empty if it is missing. */
   public String text(RecordField field) {
     Object value = values.get(field.text());
     return value == null ? "" : value.toString();
   }
 
-  /** A whole number, zero if it is missing. */
+  /** The value of a numeric field as an integer; zero if it is missing or no number. */
   public long whole(RecordField field) {
     return values.get(field.text()) instanceof Number number ? number.longValue() : 0;
   }
 
-  /** A real number, zero if it is missing. */
+  /** The value of a numeric field; zero if it is missing or no number. */
   public double real(RecordField field) {
     return values.get(field.text()) instanceof Number number ? number.doubleValue() : 0;
   }
 
-  /** Whether the field is there and true. */
+  /** Whether the field is present and true. */
   public boolean isTrue(RecordField field) {
     return Boolean.TRUE.equals(values.get(field.text()));
   }
 
-  /** Whether the field is there and false. */
+  /** Whether the field is present and false. */
   public boolean isFalse(RecordField field) {
     return Boolean.FALSE.equals(values.get(field.text()));
   }
--- a/src/main/java/fordridge/emulator/record/WireRecorder.java
+++ b/src/main/java/fordridge/emulator/record/WireRecorder.java
@@ -14,13 +14,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Records what the emulated peers send and receive, one JSON object a line, in the order of a
- * single clock.
+ * Records the messages of the emulated peers and related events, one JSON object per line, ordered
+ * by a single clock.
  *
  * <p>Each event has its time (microseconds since the recorder was opened), its source, its kind and
- * the fields of that kind. A message that a fault kept from going out is recorded with {@link
- * RecordField#IS_LOST}: it still shows what the machine did. Thread-safe; events that arrive after
- * {@link #close} are dropped.
+ * the fields of that kind. A message that an injected fault suppressed is recorded with {@link
+ * RecordField#IS_LOST}, as it still shows what the machine did. Thread-safe; events after {@link
+ * #close} are dropped.
  */
 public final class WireRecorder implements AutoCloseable {
   private static final int BUFFER_BYTES = 1 << 18;
@@ -49,7 +49,7 @@
 
   private record FieldValue(RecordField field, Object value) {}
 
-  /** An event being put together. Not thread-safe. */
+  /** A builder of an event. Not thread-safe. */
   public final class Event {
     private final String source;
     private final RecordKind kind;
@@ -60,27 +60,27 @@
       this.kind = kind;
     }
 
-    /** Adds a text. */
+    /** Adds a text field. */
     public Event with(RecordField field, String value) {
       return add(field, value);
     }
 
-    /** Adds the name of an enum's constant. */
+    /** Adds a field with the text form of an enum constant. */
     public Event with(RecordField field, Enum<?> value) {
       return add(field, value.toString());
     }
 
-    /** Adds a whole number. */
+    /** Adds an integer field. */
     public Event with(RecordField field, long value) {
       return add(field, value);
     }
 
-    /** Adds a real number. */
+    /** Adds a floating-point field. */
     public Event with(RecordField field, double value) {
       return add(field, value);
     }
 
-    /** Adds a truth value. */
+    /** Adds a boolean field. */
     public Event with(RecordField field, boolean value) {
       return add(field, value);
     }
@@ -116,12 +116,12 @@
   }
 
   private void writeValue(Object value) throws IOException {
-    if (value instanceof Boolean truth) {
-      generator.writeBoolean(truth);
-    } else if (value instanceof Double real) {
-      generator.writeNumber(real);
-    } else if (value instanceof Long whole) {
-      generator.writeNumber(whole);
+    if (value instanceof Boolean booleanValue) {
+      generator.writeBoolean(booleanValue);
+    } else if (value instanceof Double doubleValue) {
+      generator.writeNumber(doubleValue);
+    } else if (value instanceof Long longValue) {
+      generator.writeNumber(longValue);
     } else {
       generator.writeString((String) value);
     }
--- a/src/test/java/fordridge/emulator/invariant/ConstraintInvariantTest.java
+++ b/src/test/java/fordridge/emulator/invariant/ConstraintInvariantTest.java
@@ -1,8 +1,8 @@
 package fordridge.emulator.invariant;
 
-import static fordridge.emulator.invariant.Recordings.answer;
 import static fordridge.emulator.invariant.Recordings.check;
 import static fordridge.emulator.invariant.Recordings.constraints;
+import static fordridge.emulator.invariant.Recordings.machineResponse;
 import static fordridge.emulator.invariant.Recordings.offer;
 import static fordridge.emulator.invariant.Recordings.request;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -11,7 +11,10 @@
 import net.jqwik.api.Example;
 
 class ConstraintInvariantTest {
-  /** VM a runs on m1, then b is offered to m2 of the same zone. */
+  /**
+   * The violations of a recording in which VM a runs on m1, then VM b is offered to m2 in the same
+   * zone.
+   */
   private static long violationsOfTwoVmsInAZone(String constraintText) throws IOException {
     return violations(
         check(
@@ -19,7 +22,7 @@
             request(1000, "a", "safe"),
             request(1000, "b", "safe"),
             offer(2000, "m1", "a", 0, "safe"),
-            answer(3000, "m1", "started", "a", 0, ""),
+            machineResponse(3000, "m1", "started", "a", 0, ""),
             offer(4000, "m2", "b", 0, "safe")));
   }
 
@@ -30,12 +33,12 @@
   }
 
   @Example
-  void apartInTheSameDomainIsAViolation() throws IOException {
+  void antiAffinityInTheSameDomainIsAViolation() throws IOException {
     assertThat(violationsOfTwoVmsInAZone("rule r: all require apart all per zone;")).isEqualTo(1);
   }
 
   @Example
-  void apartInAnotherDomainPasses() throws IOException {
+  void antiAffinityInAnotherDomainPasses() throws IOException {
     assertThat(violationsOfTwoVmsInAZone("rule r: all require apart all per machine;")).isZero();
   }
 
@@ -55,13 +58,13 @@
   }
 
   @Example
-  void nearInAnotherDomainIsAViolation() throws IOException {
+  void affinityInAnotherDomainIsAViolation() throws IOException {
     assertThat(violationsOfTwoVmsInAZone("rule r: all require near flavour safe per machine;"))
         .isEqualTo(1);
   }
 
   @Example
-  void machineOutsideTheRequiredSetIsAViolation() throws IOException {
+  void machineWithoutTheRequiredLabelIsAViolation() throws IOException {
     assertThat(violationsOfTwoVmsInAZone("rule r: all require on machine m1;")).isEqualTo(1);
   }
 
@@ -79,14 +82,14 @@
                     request(1000, "a", "safe"),
                     request(1000, "b", "safe"),
                     offer(2000, "m1", "a", 0, "safe"),
-                    answer(3000, "m1", "started", "a", 0, ""),
-                    answer(3500, "m1", "finished", "a", 0, "how=DONE"),
+                    machineResponse(3000, "m1", "started", "a", 0, ""),
+                    machineResponse(3500, "m1", "finished", "a", 0, "how=DONE"),
                     offer(4000, "m2", "b", 0, "safe"))))
         .isZero();
   }
 
   @Example
-  void setThatWasJustReplacedStillAllowsAnOffer() throws IOException {
+  void offerAllowedByAJustReplacedSetPasses() throws IOException {
     assertThat(
             violations(
                 check(
@@ -98,7 +101,7 @@
   }
 
   @Example
-  void setThatWasReplacedLongAgoAllowsNothing() throws IOException {
+  void offerAllowedOnlyByALongReplacedSetIsAViolation() throws IOException {
     assertThat(
             violations(
                 check(
--- a/src/test/java/fordridge/emulator/invariant/DuplicateEffectInvariantTest.java
+++ b/src/test/java/fordridge/emulator/invariant/DuplicateEffectInvariantTest.java
@@ -1,11 +1,11 @@
 package fordridge.emulator.invariant;
 
 import static fordridge.emulator.invariant.Invariant.NO_DUPLICATE_EFFECT;
-import static fordridge.emulator.invariant.Recordings.answer;
 import static fordridge.emulator.invariant.Recordings.assertKept;
 import static fordridge.emulator.invariant.Recordings.assertViolated;
 import static fordridge.emulator.invariant.Recordings.cancel;
 import static fordridge.emulator.invariant.Recordings.check;
+import static fordridge.emulator.invariant.Recordings.machineResponse;
 import static fordridge.emulator.invariant.Recordings.offer;
 import static fordridge.emulator.invariant.Recordings.request;
 
@@ -32,7 +32,7 @@
         check(
             request(1000, "v", "once"),
             offer(2000, "m1", "v", 0, "once"),
-            answer(3000, "m1", "started", "v", 0, "flavour=once"),
+            machineResponse(3000, "m1", "started", "v", 0, "flavour=once"),
             "9000 o denied vm=v"),
         NO_DUPLICATE_EFFECT,
         "rejected though");
@@ -44,9 +44,9 @@
         check(
             request(1000, "v", "once"),
             offer(2000, "m1", "v", 0, "once"),
-            answer(3000, "m1", "started", "v", 0, "flavour=once"),
+            machineResponse(3000, "m1", "started", "v", 0, "flavour=once"),
             offer(4000, "m2", "v", 1, "once"),
-            answer(5000, "m2", "started", "v", 1, "flavour=once"),
+            machineResponse(5000, "m2", "started", "v", 1, "flavour=once"),
             "6000 o bound vm=v"),
         NO_DUPLICATE_EFFECT,
         "was started 2 times");
--- a/src/test/java/fordridge/emulator/invariant/InvariantCheckerTest.java
+++ b/src/test/java/fordridge/emulator/invariant/InvariantCheckerTest.java
@@ -4,10 +4,10 @@
 import static fordridge.emulator.invariant.Invariant.SLOW_START_RESPECTED;
 import static fordridge.emulator.invariant.Invariant.SPREAD_RESPECTED;
 import static fordridge.emulator.invariant.Invariant.TIMELY_RESPONSE;
-import static fordridge.emulator.invariant.Recordings.answer;
 import static fordridge.emulator.invariant.Recordings.assertKept;
 import static fordridge.emulator.invariant.Recordings.assertViolated;
 import static fordridge.emulator.invariant.Recordings.check;
+import static fordridge.emulator.invariant.Recordings.machineResponse;
 import static fordridge.emulator.invariant.Recordings.offer;
 import static fordridge.emulator.invariant.Recordings.request;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -17,19 +17,22 @@
 import java.io.IOException;
 import net.jqwik.api.Example;
 
-/** A sound recording passes, and for each invariant one with a planted violation does not. */
+/**
+ * A recording without a violation passes, and for each invariant a recording with a violation is
+ * reported.
+ */
 class InvariantCheckerTest {
   @Example
-  void soundRecordingPasses() throws IOException {
+  void recordingWithoutViolationPasses() throws IOException {
     assertKept(
         check(
             request(1000, "v", "once"),
             offer(2000, "m1", "v", 0, "once"),
-            answer(9000, "m1", "refused", "v", 0, "why=NO_CORES"),
+            machineResponse(9000, "m1", "refused", "v", 0, "why=NO_CORES"),
             offer(10000, "m2", "v", 1, "once"),
-            answer(90000, "m2", "started", "v", 1, "flavour=once"),
+            machineResponse(90000, "m2", "started", "v", 1, "flavour=once"),
             "91000 o bound vm=v machine=m2",
-            answer(900000, "m2", "finished", "v", 1, "how=DONE ran=true"),
+            machineResponse(900000, "m2", "finished", "v", 1, "how=DONE ran=true"),
             "901000 o ended vm=v how=DONE"));
   }
 
@@ -83,14 +86,14 @@
   }
 
   @Example
-  void responseMayBeAsLateAsTheEmulatorStalled() throws IOException {
+  void responseMayBeLateByTheLengthOfAnEmulatorStall() throws IOException {
     assertKept(
         check(
             request(1000, "v", "safe"), "4100000 rig stalled for=120000", "4130000 o denied vm=v"));
   }
 
   @Example
-  void responseLaterThanTheEmulatorStalledIsAViolation() throws IOException {
+  void responseLateByMoreThanTheEmulatorStallIsAViolation() throws IOException {
     assertViolated(
         check(request(1000, "v", "safe"), "4100000 rig stalled for=60000", "4130000 o denied vm=v"),
         TIMELY_RESPONSE,
@@ -98,7 +101,7 @@
   }
 
   @Example
-  void stallOfMoreThanASecondAgoExcusesNothing() throws IOException {
+  void stallOlderThanASecondDoesNotExcuseALateResponse() throws IOException {
     assertViolated(
         check(
             request(1000, "v", "safe"), "3000000 rig stalled for=900000", "4130000 o denied vm=v"),
@@ -107,7 +110,7 @@
   }
 
   @Example
-  void offerToADrainingMachineAfterTheGraceIsAViolation() throws IOException {
+  void offerToADrainingMachineAfterTheGracePeriodIsAViolation() throws IOException {
     assertViolated(
         check(
             "5000 registry listed machine=m1 state=draining",
@@ -119,7 +122,7 @@
   }
 
   @Example
-  void offerToADrainingMachineWithinTheGracePasses() throws IOException {
+  void offerToADrainingMachineWithinTheGracePeriodPasses() throws IOException {
     assertKept(
         check(
             "5000 registry listed machine=m1 state=draining",
@@ -129,7 +132,7 @@
   }
 
   @Example
-  void offerAfterTheStoreSentTheDrainAndTheGraceIsAViolation() throws IOException {
+  void offerLaterThanTheGracePeriodAfterTheDrainWasSentIsAViolation() throws IOException {
     assertViolated(
         check(
             "5000 etcd told placer=p machine=m1 of=drain closed=true",
@@ -141,7 +144,7 @@
   }
 
   @Example
-  void snapshotOfTheStoreReplacesWhatWasSentBefore() throws IOException {
+  void storeSnapshotReplacesTheChangesSentBefore() throws IOException {
     assertKept(
         check(
             "5000 etcd told placer=p machine=m1 of=drain closed=true",
@@ -152,7 +155,7 @@
   }
 
   @Example
-  void moreOffersThanAWarmingMachineWithstandsAreAViolation() throws IOException {
+  void moreOffersThanTheWarmUpLimitAreAViolation() throws IOException {
     assertViolated(
         check(
             "1000 m1 born bears=2 multiple=2.0 over=1000000 from=0.1 warm=10000000 rate=5.0",
@@ -170,12 +173,12 @@
   }
 
   @Example
-  void overloadOfAWarmingMachineIsAViolation() throws IOException {
+  void overloadOfAMachineDuringWarmUpIsAViolation() throws IOException {
     assertViolated(check("1000 m1 fell"), SLOW_START_RESPECTED, "overloaded");
   }
 
   @Example
-  void moreVmsOfAServiceInADomainThanItsLimitAreAViolation() throws IOException {
+  void moreVmsOfAServiceInADomainThanTheSpreadLimitAreAViolation() throws IOException {
     assertViolated(
         check(
             request(1000, "a", "once"),
@@ -195,14 +198,14 @@
             request(1000, "a", "once"),
             request(1000, "b", "once"),
             offer(2000, "m1", "a", 0, "once"),
-            answer(2500, "m1", "refused", "a", 0, "why=NO_CORES"),
+            machineResponse(2500, "m1", "refused", "a", 0, "why=NO_CORES"),
             offer(3000, "m1", "b", 0, "once"),
             "9000 o errored vm=a",
             "9000 o errored vm=b"));
   }
 
   @Example
-  void recordingThatIsNotJsonFailsWithItsLine() throws IOException {
+  void recordingThatIsNotJsonFailsWithTheLineNumber() throws IOException {
     File file = Recordings.file("{\"t\":1,\"at\":\"x\",\"what\":\"y\"}\n{\"t\":\n");
     assertThatThrownBy(() -> InvariantChecker.check(file))
         .isInstanceOf(InvalidRecordingException.class)
--- a/src/test/java/fordridge/emulator/invariant/Recordings.java
+++ b/src/test/java/fordridge/emulator/invariant/Recordings.java
@@ -11,11 +11,13 @@
 
 /**
  * Builds short recordings for the checker's tests. An event is written as {@code "time source kind
- * name=value ..."}; numbers and truth values are written as such, {@code ~} stands for a space.
+ * name=value ..."}; numbers and booleans become JSON numbers and booleans, and {@code ~} in a text
+ * stands for a space.
  *
  * <p>The fleet: m1 and m2 in zone a and cell 0, m3 in zone b and cell 1. Priority classes: {@code
- * safe} is idempotent, {@code once} is not, {@code key} has an idempotency key with a window of 2 s
- * within a zone. Time is in microseconds; requests have 4 s, offers 1 s.
+ * safe} is idempotent, {@code once} is not, {@code key} has an idempotency key with a deduplication
+ * window of 2 s within a zone. Times are in microseconds; a request has 4 s and an offer 1 s until
+ * its deadline.
  */
 final class Recordings {
   private static final String[] HEADER = {
@@ -30,7 +32,7 @@
 
   private Recordings() {}
 
-  /** Checks the header and these events. */
+  /** Checks a recording of the header and these events. */
   static Verdict check(String... events) throws IOException {
     List<String> lines = new ArrayList<>(Arrays.asList(HEADER));
     lines.addAll(Arrays.asList(events));
@@ -56,9 +58,9 @@
     for (String field : Arrays.asList(words).subList(3, words.length)) {
       int equals = field.indexOf('=');
       String value = field.substring(equals + 1);
-      boolean isBare = value.matches("-?[0-9.]+|true|false");
+      boolean isUnquoted = value.matches("-?[0-9.]+|true|false");
       json.append(",").append(quoted(field.substring(0, equals))).append(':');
-      json.append(isBare ? value : quoted(value.replace('~', ' ')));
+      json.append(isUnquoted ? value : quoted(value.replace('~', ' ')));
     }
     return json.append('}').toString();
   }
@@ -80,8 +82,8 @@
         + " service=1 within=1000000";
   }
 
-  /** A machine's answer that is not lost. */
-  static String answer(
+  /** A machine's response that is delivered. */
+  static String machineResponse(
       long timeUs, String machine, String kind, String vm, int number, String fields) {
     return attemptEvent(timeUs, machine, kind, vm, number) + " lost=false " + fields;
   }
--- a/src/test/java/fordridge/emulator/machine/MachineModelTest.java
+++ b/src/test/java/fordridge/emulator/machine/MachineModelTest.java
@@ -9,9 +9,9 @@
 import net.jqwik.api.Example;
 
 class MachineModelTest {
-  private static final Duration LONG_AFTER = Duration.ofSeconds(5);
+  private static final Duration SETTLE_TIME = Duration.ofSeconds(5);
 
-  /** Notes what the machine reports, one text for each event. */
+  /** Collects the machine's reports, one text for each. */
   private static final class EventLog implements MachineListener {
     final List<String> events = new ArrayList<>();
 
@@ -64,7 +64,7 @@
       events.add("overloaded");
     }
 
-    List<String> withoutUsage() {
+    List<String> eventsExceptUsage() {
       return events.stream().filter(event -> !event.startsWith("usage")).toList();
     }
   }
@@ -111,26 +111,27 @@
   void offeredVmIsAcceptedStartsAndEndsAfterItsRunTime() {
     MachineModel model = model();
     model.offered(vm("a", 2, 1, Duration.ofSeconds(1)));
-    model.advanceTo(LONG_AFTER);
-    assertThat(log.withoutUsage()).containsExactly("accepted a", "started a", "finished a DONE");
+    model.advanceTo(SETTLE_TIME);
+    assertThat(log.eventsExceptUsage())
+        .containsExactly("accepted a", "started a", "finished a DONE");
   }
 
   @Example
-  void repeatedOfferIsAnsweredAgainAndStartsNothing() {
+  void repeatedOfferGetsTheResponseAgainAndStartsNoSecondVm() {
     MachineModel model = model();
     model.offered(vm("a", 2));
-    model.advanceTo(LONG_AFTER);
+    model.advanceTo(SETTLE_TIME);
     model.offered(vm("a", 2));
-    model.advanceTo(LONG_AFTER.multipliedBy(2));
-    assertThat(log.withoutUsage()).containsExactly("accepted a", "started a", "started a");
+    model.advanceTo(SETTLE_TIME.multipliedBy(2));
+    assertThat(log.eventsExceptUsage()).containsExactly("accepted a", "started a", "started a");
   }
 
   @Example
   void vmThatDoesNotFitIsRefused() {
     MachineModel model = model();
     model.offered(vm("a", 9));
-    model.advanceTo(LONG_AFTER);
-    assertThat(log.withoutUsage()).containsExactly("refused a NO_CORES");
+    model.advanceTo(SETTLE_TIME);
+    assertThat(log.eventsExceptUsage()).containsExactly("refused a NO_CORES");
   }
 
   @Example
@@ -139,17 +140,17 @@
     for (String name : List.of("a", "b", "c", "d", "e")) {
       model.offered(vm(name, 1));
     }
-    assertThat(log.withoutUsage()).containsExactly("refused e QUEUE_FULL");
+    assertThat(log.eventsExceptUsage()).containsExactly("refused e QUEUE_FULL");
   }
 
   @Example
   void vmOfHigherPriorityPreemptsOneOfLowerPriority() {
     MachineModel model = model(true, DrainPolicy.NONE, 1);
     model.offered(vm("low", 6, 1, Duration.ZERO));
-    model.advanceTo(LONG_AFTER);
+    model.advanceTo(SETTLE_TIME);
     model.offered(vm("high", 6, 2, Duration.ZERO));
-    model.advanceTo(LONG_AFTER.multipliedBy(2));
-    assertThat(log.withoutUsage())
+    model.advanceTo(SETTLE_TIME.multipliedBy(2));
+    assertThat(log.eventsExceptUsage())
         .containsExactly(
             "accepted low",
             "started low",
@@ -159,14 +160,14 @@
   }
 
   @Example
-  void drainStopsRunningVmsAndRefusesNewOnes() {
+  void drainStopsRunningVmsAndRefusesNewOffers() {
     MachineModel model = model(false, DrainPolicy.AT_ONCE, 1);
     model.offered(vm("a", 2));
-    model.advanceTo(LONG_AFTER);
+    model.advanceTo(SETTLE_TIME);
     model.drain(Duration.ofSeconds(1));
     model.offered(vm("b", 2));
-    model.advanceTo(LONG_AFTER.multipliedBy(2));
-    assertThat(log.withoutUsage())
+    model.advanceTo(SETTLE_TIME.multipliedBy(2));
+    assertThat(log.eventsExceptUsage())
         .containsExactly(
             "accepted a", "started a", "finished a DRAINED", "refused b NOT_AVAILABLE");
   }
@@ -176,20 +177,23 @@
     MachineModel model = model();
     model.offered(vm("a", 2));
     model.cancelled(new AttemptId("scheduler", "a", 0));
-    model.advanceTo(LONG_AFTER);
-    assertThat(log.withoutUsage()).containsExactly("finished a CANCELLED before it ran");
+    model.advanceTo(SETTLE_TIME);
+    assertThat(log.eventsExceptUsage()).containsExactly("finished a CANCELLED before it ran");
   }
 
-  /** At a tenth of its pace it starts 4 VMs a second, and withstands twice that many offers. */
+  /**
+   * At a tenth of its full speed the machine can start 4 VMs per second, and is overloaded by more
+   * than twice as many offers.
+   */
   @Example
-  void warmingMachineGoesDownUnderTooManyOffers() {
+  void machineCrashesUnderTooManyOffersDuringWarmUp() {
     MachineModel model = model();
     model.restart(Duration.ofSeconds(1));
     for (int i = 1; i <= 9; i++) {
       model.offered(vm("v" + i, 0.1));
     }
-    model.advanceTo(LONG_AFTER);
-    assertThat(log.withoutUsage())
+    model.advanceTo(SETTLE_TIME);
+    assertThat(log.eventsExceptUsage())
         .containsExactly(
             "refused v5 QUEUE_FULL",
             "refused v6 QUEUE_FULL",
@@ -199,19 +203,19 @@
   }
 
   @Example
-  void pausedMachineDoesLateWhatFellDue() {
+  void pausedMachineRunsDueEventsAfterItResumes() {
     MachineModel model = model();
     model.faults().setPaused(true);
     model.offered(vm("a", 2));
-    model.advanceTo(LONG_AFTER);
-    assertThat(log.withoutUsage()).isEmpty();
+    model.advanceTo(SETTLE_TIME);
+    assertThat(log.eventsExceptUsage()).isEmpty();
     model.faults().setPaused(false);
-    model.advanceTo(LONG_AFTER.multipliedBy(2));
-    assertThat(log.withoutUsage()).containsExactly("accepted a", "started a");
+    model.advanceTo(SETTLE_TIME.multipliedBy(2));
+    assertThat(log.eventsExceptUsage()).containsExactly("accepted a", "started a");
   }
 
   @Example
-  void sameSeedAndInputsGiveTheSameRun() {
+  void runsWithTheSameSeedAndInputsAreIdentical() {
     List<String> first = eventsOfARun(7);
     List<String> second = eventsOfARun(7);
     assertThat(second).isEqualTo(first);
--- a/src/test/java/fordridge/emulator/record/WireRecorderTest.java
+++ b/src/test/java/fordridge/emulator/record/WireRecorderTest.java
@@ -17,7 +17,7 @@
   }
 
   @Example
-  void eventIsOneJsonObjectALineWithTheFieldsInTheirOrder() throws IOException {
+  void eachEventIsALineOfJsonWithItsFieldsInOrder() throws IOException {
     File file = temporaryFile();
     try (WireRecorder recorder = new WireRecorder(file)) {
       recorder
@@ -70,14 +70,14 @@
   }
 
   @Example
-  void textThatIsNotJsonFailsWithItsLine() {
+  void textThatIsNotJsonFailsWithTheLineNumber() {
     assertThatThrownBy(() -> RecordedEvent.parse("{\"t\":", 12))
         .isInstanceOf(InvalidRecordingException.class)
         .hasMessageContaining("line 12");
   }
 
   @Example
-  void eventsAfterTheCloseAreDropped() throws IOException {
+  void eventsAfterCloseAreDropped() throws IOException {
     File file = temporaryFile();
     WireRecorder recorder = new WireRecorder(file);
     recorder.event("m1", RecordKind.CRASH).write();
