--- a/src/test/java/fordridge/faults/BusyProcesses.java
+++ b/src/test/java/fordridge/faults/BusyProcesses.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Processes that use up what they get of one processor core, for a minute at the most. */
+/** Processes that run a busy loop on one processor core, for a minute at the most. */
 final class BusyProcesses implements AutoCloseable {
-  private static final String SECONDS = "60";
+  private static final String MAX_SECONDS = "60";
 
   private final int core;
   private final List<Process> processes = new ArrayList<>();
@@ -15,18 +15,18 @@
     this.core = core;
   }
 
-  /** Starts so many on the core. */
+  /** Starts {@code count} processes on the core. */
   static BusyProcesses start(int core, int count) throws IOException {
     BusyProcesses busy = new BusyProcesses(core);
     for (int i = 0; i < count; i++) {
       List<String> command = new ArrayList<>(onCore(core));
-      command.addAll(List.of("timeout", SECONDS, "sh", "-c", "while :; do :; done"));
+      command.addAll(List.of("timeout", MAX_SECONDS, "sh", "-c", "while :; do :; done"));
       busy.processes.add(new ProcessBuilder(command).start());
     }
     return busy;
   }
 
-  /** What precedes the command of a process that is to run on this core only. */
+  /** A command prefix that makes a process run on this core only. */
   static List<String> onCore(int core) {
     return List.of("taskset", "-c", Integer.toString(core));
   }
--- a/src/test/java/fordridge/faults/EndOfVmToldTest.java
+++ b/src/test/java/fordridge/faults/EndOfVmToldTest.java
@@ -13,56 +13,62 @@
 import org.awaitility.Awaitility;
 
 /**
- * A real scheduler process tells a client once that its VM is over, whatever else the end of the VM
- * crosses. Each crossing is forced by a script.
+ * A real scheduler process notifies a client that its VM has ended, also when the end races with
+ * answers, resets, handovers and other events. Each race is forced by a script.
  */
 class EndOfVmToldTest {
-  /** A notice is due so long after the machine's word. */
-  private static final Duration TARGET = Duration.ofSeconds(1);
+  /** A notice is due this long after the machine's message. */
+  private static final Duration NOTICE_TARGET = Duration.ofSeconds(1);
 
-  /** The target, and the rest for a busy test machine. */
-  private static final Duration TOLD_WITHIN = TARGET.plusMillis(400);
+  /** The target, and 400 ms of slack for a busy test host. */
+  private static final Duration NOTICE_WITHIN = NOTICE_TARGET.plusMillis(400);
 
-  /** Where the machine could not say so. */
-  private static final Duration TOLD_WITHIN_UNSAID = Duration.ofMillis(8000 + 400);
+  /** The limit where the machine could not report the end (8 s), and the same slack. */
+  private static final Duration NOTICE_WITHIN_UNREPORTED = Duration.ofMillis(8000 + 400);
 
-  /** The protocol grants half a second past the deadline; the rest is for a busy test machine. */
+  /** The protocol allows 500 ms past the deadline; the rest is slack for a busy test host. */
   private static final Duration ANSWERED_WITHIN = Duration.ofMillis(500 + 250);
 
-  private static final long CROSSING_MILLIS = 100;
+  private static final long PAUSE_MILLIS = 100;
 
-  /** Longer than an attempt waits that is not repeatable, half of its start deadline of 3 s. */
+  /**
+   * Longer than the timeout of an attempt that is not repeatable, which is half of its start
+   * deadline of 3 s.
+   */
   private static final long LATE_ANSWER_MILLIS = 1900;
 
-  private static final long LEFT_MILLIS = 1400;
-  private static final long LEFT_MILLIS_ONCE = 2900;
+  private static final long REPEATABLE_TIME_LEFT_MILLIS = 1400;
+  private static final long NON_REPEATABLE_TIME_LEFT_MILLIS = 2900;
 
-  /** Quick starts, after which an attempt of a repeatable VM waits for twice its objective only. */
-  private static final int STARTS_LEARNED_FROM = 16;
+  /**
+   * The number of fast starts after which the timeout of a repeatable VM's attempt is only twice
+   * its start objective.
+   */
+  private static final int STARTS_BEFORE_ESTIMATE = 16;
 
-  private static final String REPEATABLE = RigConfiguration.REPEATABLE_CLASS;
-  private static final String ONCE = RigConfiguration.LIMITED_CLASS;
+  private static final String REPEATABLE = HarnessConfiguration.REPEATABLE_CLASS;
+  private static final String NON_REPEATABLE = HarnessConfiguration.LIMITED_CLASS;
 
-  private static ScriptedRig rig;
+  private static ScriptedHarness harness;
   private static int service = 1;
 
   @BeforeContainer
   static void startScheduler() throws Exception {
-    rig = new ScriptedRig();
+    harness = new ScriptedHarness();
   }
 
   @AfterContainer
   static void stopScheduler() throws Exception {
-    rig.close();
+    harness.close();
   }
 
   @AfterProperty
   void removeMachines() throws Exception {
-    rig.removeMachines();
+    harness.removeMachines();
   }
 
-  /** A VM whose request a machine has and has not answered. */
-  private record Offered(
+  /** A VM whose request a machine has received and not answered. */
+  private record OfferedVm(
       String vm,
       ScriptedClient client,
       ScriptedMachine machine,
@@ -73,102 +79,111 @@
     }
   }
 
-  private Offered offer(ScriptedMachine machine, ScriptedClient client) {
-    return offer(machine, client, REPEATABLE, LEFT_MILLIS);
+  private OfferedVm offer(ScriptedMachine machine, ScriptedClient client) {
+    return offer(machine, client, REPEATABLE, REPEATABLE_TIME_LEFT_MILLIS);
   }
 
-  private Offered offer(
-      ScriptedMachine machine, ScriptedClient client, String priorityClass, long leftMillis) {
-    String vm = rig.newVmId();
-    client.request(vm, priorityClass, leftMillis, service++);
-    return new Offered(vm, client, machine, machine.awaitRequest(vm));
+  private OfferedVm offer(
+      ScriptedMachine machine, ScriptedClient client, String priorityClass, long timeLeftMillis) {
+    String vm = harness.newVmId();
+    client.request(vm, priorityClass, timeLeftMillis, service++);
+    return new OfferedVm(vm, client, machine, machine.awaitRequest(vm));
   }
 
-  /** Two requests that the machine has, each on a connection of its own. */
-  private List<Offered> offerTwo() throws Exception {
-    ScriptedMachine machine = rig.addMachine();
-    ScriptedClient client = rig.connect();
-    Offered first = offer(machine, client);
-    Offered second = offer(machine, client);
+  /** Two VMs that are offered to the same machine, each on its requester connection. */
+  private List<OfferedVm> offerTwo() throws Exception {
+    ScriptedMachine machine = harness.addMachine();
+    ScriptedClient client = harness.connect();
+    OfferedVm first = offer(machine, client);
+    OfferedVm second = offer(machine, client);
     assertThat(second.connection).isNotSameAs(first.connection);
     return List.of(first, second);
   }
 
-  private static void awaitTold(Duration within, String vm, ScriptedClient... clients) {
-    Awaitility.await("the end of " + vm + " is told")
+  private static void awaitEndNotice(Duration within, String vm, ScriptedClient... clients) {
+    Awaitility.await("notice of the end of " + vm)
         .pollInterval(Duration.ofMillis(10))
         .atMost(within)
-        .until(() -> List.of(clients).stream().anyMatch(client -> client.isTold(vm)));
+        .until(() -> List.of(clients).stream().anyMatch(client -> client.hasEndNotice(vm)));
   }
 
   private static void pause() throws InterruptedException {
-    TimeUnit.MILLISECONDS.sleep(CROSSING_MILLIS);
+    TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
   }
 
   @Example
-  void endOnAnotherConnectionOvertakesTheAnswer() throws Exception {
-    List<Offered> offered = offerTwo();
-    Offered over = offered.get(0);
-    offered.get(1).connection.send(Message.of(Message.ENDED, over.vm, Message.CAUSE_DONE));
+  void endOnOtherConnectionArrivesBeforeAnswer() throws Exception {
+    List<OfferedVm> offers = offerTwo();
+    OfferedVm offered = offers.get(0);
+    offers.get(1).connection.send(Message.of(Message.ENDED, offered.vm, Message.CAUSE_DONE));
     pause();
-    over.machine.accept(over.connection, over.vm);
-    awaitTold(TOLD_WITHIN, over.vm, over.client);
+    offered.machine.accept(offered.connection, offered.vm);
+    awaitEndNotice(NOTICE_WITHIN, offered.vm, offered.client);
   }
 
   @Example
-  void doneBeforeTheAnswer() throws Exception {
-    endedBeforeTheAnswer(Message.CAUSE_DONE, "");
+  void completedBeforeAnswer() throws Exception {
+    checkEndBeforeAnswer(Message.CAUSE_DONE, "");
   }
 
   @Example
-  void cutByADrainBeforeTheAnswer() throws Exception {
-    endedBeforeTheAnswer(Message.CAUSE_RESET, "dr");
+  void endedByDrainBeforeAnswer() throws Exception {
+    checkEndBeforeAnswer(Message.CAUSE_RESET, "dr");
   }
 
-  private void endedBeforeTheAnswer(int cause, String note) throws Exception {
-    Offered over = offer(rig.addMachine(), rig.connect());
-    ScriptedMachine other = rig.addMachine();
-    over.connection.send(Message.ended(over.vm, cause, note));
-    awaitTold(TOLD_WITHIN, over.vm, over.client);
-    assertThat(other.hasReceived(Message.REQUEST, over.vm)).as("placed again").isFalse();
+  private void checkEndBeforeAnswer(int cause, String note) throws Exception {
+    OfferedVm offered = offer(harness.addMachine(), harness.connect());
+    ScriptedMachine other = harness.addMachine();
+    offered.connection.send(Message.ended(offered.vm, cause, note));
+    awaitEndNotice(NOTICE_WITHIN, offered.vm, offered.client);
+    assertThat(other.hasReceived(Message.REQUEST, offered.vm))
+        .as("offered to another machine")
+        .isFalse();
   }
 
   @Example
-  void resetAfterAReport() throws Exception {
-    failsAfterAReport(over -> over.connection.reset());
+  void connectionResetAfterReport() throws Exception {
+    checkFailureAfterReport(offered -> offered.connection.reset());
   }
 
   @Example
-  void unreadableLineAfterAReport() throws Exception {
-    failsAfterAReport(over -> over.connection.sendUnreadable());
+  void malformedLineAfterReport() throws Exception {
+    checkFailureAfterReport(offered -> offered.connection.sendMalformed());
   }
 
   @Example
-  void machineDiesAfterAReport() throws Exception {
-    failsAfterAReport(
-        over -> {
-          over.machine.die();
-          rig.removeMachine(over.machine);
+  void machineDiesAfterReport() throws Exception {
+    checkFailureAfterReport(
+        offered -> {
+          offered.machine.die();
+          harness.removeMachine(offered.machine);
         });
   }
 
   private interface Failure {
-    void befall(Offered over) throws Exception;
+    void inject(OfferedVm offered) throws Exception;
   }
 
-  private void failsAfterAReport(Failure failure) throws Exception {
-    Offered over = offer(rig.addMachine(), rig.connect());
-    ScriptedMachine other = rig.addMachine();
-    over.connection.send(Message.report(over.vm));
+  private void checkFailureAfterReport(Failure failure) throws Exception {
+    OfferedVm offered = offer(harness.addMachine(), harness.connect());
+    ScriptedMachine other = harness.addMachine();
+    offered.connection.send(Message.report(offered.vm));
     pause();
-    failure.befall(over);
-    awaitTold(TOLD_WITHIN, over.vm, over.client);
-    assertThat(other.hasReceived(Message.REQUEST, over.vm)).as("placed again").isFalse();
+    failure.inject(offered);
+    awaitEndNotice(NOTICE_WITHIN, offered.vm, offered.client);
+    assertThat(other.hasReceived(Message.REQUEST, offered.vm))
+        .as("offered to another machine")
+        .isFalse();
   }
 
   @Example
-  void attemptOfAVmThatIsReportedToRunDoesNotTimeOut() throws Exception {
-    Offered late = offer(rig.addMachine(), rig.connect(), ONCE, LEFT_MILLIS_ONCE);
+  void attemptDoesNotTimeOutOnceVmIsReportedRunning() throws Exception {
+    OfferedVm late =
+        offer(
+            harness.addMachine(),
+            harness.connect(),
+            NON_REPEATABLE,
+            NON_REPEATABLE_TIME_LEFT_MILLIS);
     late.connection.send(Message.report(late.vm));
     TimeUnit.MILLISECONDS.sleep(LATE_ANSWER_MILLIS);
     assertThat(late.connection.hasReceived(Message.ENDED, late.vm)).as("withdrawn").isFalse();
@@ -176,195 +191,203 @@
   }
 
   @Example
-  void reportedToRunAndNeverAnswered() throws Exception {
-    ScriptedMachine machine = rig.addMachine();
-    ScriptedClient client = rig.connect();
-    for (int i = 0; i < STARTS_LEARNED_FROM; i++) {
+  void reportedRunningButNeverAnswered() throws Exception {
+    ScriptedMachine machine = harness.addMachine();
+    ScriptedClient client = harness.connect();
+    for (int i = 0; i < STARTS_BEFORE_ESTIMATE; i++) {
       offer(machine, client).accept();
     }
-    Offered over = offer(machine, client);
-    ScriptedMachine other = rig.addMachine();
-    over.connection.send(Message.report(over.vm));
-    awaitTold(Duration.ofMillis(LEFT_MILLIS).plus(ANSWERED_WITHIN), over.vm, over.client);
-    Awaitility.await("withdrawal of " + over.vm)
-        .until(() -> over.connection.hasReceived(Message.ENDED, over.vm));
-    assertThat(over.client.causeOfEnd(over.vm)).isEqualTo(Message.CAUSE_FAILED);
-    assertThat(other.hasReceived(Message.REQUEST, over.vm)).as("placed again").isFalse();
+    OfferedVm offered = offer(machine, client);
+    ScriptedMachine other = harness.addMachine();
+    offered.connection.send(Message.report(offered.vm));
+    awaitEndNotice(
+        Duration.ofMillis(REPEATABLE_TIME_LEFT_MILLIS).plus(ANSWERED_WITHIN),
+        offered.vm,
+        offered.client);
+    Awaitility.await("withdrawal of " + offered.vm)
+        .until(() -> offered.connection.hasReceived(Message.ENDED, offered.vm));
+    assertThat(offered.client.causeOfEnd(offered.vm)).isEqualTo(Message.CAUSE_FAILED);
+    assertThat(other.hasReceived(Message.REQUEST, offered.vm))
+        .as("offered to another machine")
+        .isFalse();
   }
 
   @Example
-  void resetAfterAReportOnAnotherConnection() throws Exception {
-    List<Offered> offered = offerTwo();
-    Offered over = offered.get(0);
-    ScriptedMachine other = rig.addMachine();
-    offered.get(1).connection.send(Message.report(over.vm));
+  void connectionResetAfterReportOnOtherConnection() throws Exception {
+    List<OfferedVm> offers = offerTwo();
+    OfferedVm offered = offers.get(0);
+    ScriptedMachine other = harness.addMachine();
+    offers.get(1).connection.send(Message.report(offered.vm));
     pause();
-    over.connection.reset();
-    awaitTold(TOLD_WITHIN, over.vm, over.client);
-    assertThat(other.hasReceived(Message.REQUEST, over.vm)).as("placed again").isFalse();
+    offered.connection.reset();
+    awaitEndNotice(NOTICE_WITHIN, offered.vm, offered.client);
+    assertThat(other.hasReceived(Message.REQUEST, offered.vm))
+        .as("offered to another machine")
+        .isFalse();
   }
 
   @Example
-  void endOnAnotherConnectionAfterTheRequestsOwnWasReset() throws Exception {
-    ScriptedMachine machine = rig.addMachine();
-    ScriptedClient client = rig.connect();
-    Offered over = offer(machine, client);
-    Offered running = offer(machine, client);
+  void endOnOtherConnectionAfterOwnConnectionWasReset() throws Exception {
+    ScriptedMachine machine = harness.addMachine();
+    ScriptedClient client = harness.connect();
+    OfferedVm offered = offer(machine, client);
+    OfferedVm running = offer(machine, client);
     running.accept();
-    ScriptedMachine other = rig.addMachine();
-    over.connection.reset();
-    ScriptedMachine.Connection again = other.awaitRequest(over.vm);
-    running.connection.send(Message.of(Message.ENDED, over.vm, Message.CAUSE_DONE));
-    // Half the target: at its end the second attempt times out, which answers the request too.
-    awaitTold(TARGET.dividedBy(2), over.vm, over.client);
-    Awaitility.await("withdrawal").until(() -> again.hasReceived(Message.ENDED, over.vm));
-    assertThat(over.client.wordsOn(over.vm)).containsExactly(Message.ENDED);
+    ScriptedMachine other = harness.addMachine();
+    offered.connection.reset();
+    ScriptedMachine.Connection secondAttempt = other.awaitRequest(offered.vm);
+    running.connection.send(Message.of(Message.ENDED, offered.vm, Message.CAUSE_DONE));
+    // Half the target: the second attempt's timeout, at the target, would answer the request too.
+    awaitEndNotice(NOTICE_TARGET.dividedBy(2), offered.vm, offered.client);
+    Awaitility.await("withdrawal")
+        .until(() -> secondAttempt.hasReceived(Message.ENDED, offered.vm));
+    assertThat(offered.client.messageTypes(offered.vm)).containsExactly(Message.ENDED);
   }
 
   @Example
-  void cancelledByItsMachineThoughNoClientEndedIt() throws Exception {
-    Offered over = offer(rig.addMachine(), rig.connect());
-    over.accept();
-    over.connection.send(Message.of(Message.ENDED, over.vm, Message.CAUSE_CANCELLED));
-    awaitTold(TOLD_WITHIN, over.vm, over.client);
+  void cancelledByMachineWithoutClientRequest() throws Exception {
+    OfferedVm offered = offer(harness.addMachine(), harness.connect());
+    offered.accept();
+    offered.connection.send(Message.of(Message.ENDED, offered.vm, Message.CAUSE_CANCELLED));
+    awaitEndNotice(NOTICE_WITHIN, offered.vm, offered.client);
   }
 
   @Example
-  void handedOverAfterItsTerminationWasAskedFor() throws Exception {
-    Offered over = offer(rig.addMachine(), rig.connect());
-    over.accept();
-    over.client.terminate(over.vm);
-    Awaitility.await().until(() -> over.machine.hasReceived(Message.ENDED, over.vm));
-    over.client.handOver(over.vm, REPEATABLE, over.machine.id(), 1);
+  void handedOverAfterTerminationRequest() throws Exception {
+    OfferedVm offered = offer(harness.addMachine(), harness.connect());
+    offered.accept();
+    offered.client.terminate(offered.vm);
+    Awaitility.await().until(() -> offered.machine.hasReceived(Message.ENDED, offered.vm));
+    offered.client.handOver(offered.vm, REPEATABLE, offered.machine.id(), 1);
     pause();
-    over.connection.send(Message.of(Message.ENDED, over.vm, Message.CAUSE_CANCELLED));
-    awaitTold(TOLD_WITHIN, over.vm, over.client);
+    offered.connection.send(Message.of(Message.ENDED, offered.vm, Message.CAUSE_CANCELLED));
+    awaitEndNotice(NOTICE_WITHIN, offered.vm, offered.client);
   }
 
   @Example
-  void handedOverOnceMoreOnAnotherConnection() throws Exception {
-    Offered over = offer(rig.addMachine(), rig.connect());
-    over.accept();
-    over.client.fallSilent();
-    ScriptedClient again = rig.connect();
-    again.handOver(over.vm, REPEATABLE, over.machine.id(), 1);
+  void handedOverAgainOnOtherConnection() throws Exception {
+    OfferedVm offered = offer(harness.addMachine(), harness.connect());
+    offered.accept();
+    offered.client.stopResponding();
+    ScriptedClient reconnected = harness.connect();
+    reconnected.handOver(offered.vm, REPEATABLE, offered.machine.id(), 1);
     pause();
-    over.connection.send(Message.of(Message.ENDED, over.vm, Message.CAUSE_DONE));
-    awaitTold(TOLD_WITHIN, over.vm, again);
+    offered.connection.send(Message.of(Message.ENDED, offered.vm, Message.CAUSE_DONE));
+    awaitEndNotice(NOTICE_WITHIN, offered.vm, reconnected);
   }
 
   @Example
-  void handedOverWhileItsRequestIsPendingOnADeadConnection() throws Exception {
-    ScriptedClient silent = rig.connect();
-    String vm = rig.newVmId();
-    ScriptedMachine machine = rig.addMachine();
-    silent.request(vm, ONCE, LEFT_MILLIS_ONCE, service++);
+  void handedOverWhileRequestIsPendingOnDeadConnection() throws Exception {
+    ScriptedClient silent = harness.connect();
+    String vm = harness.newVmId();
+    ScriptedMachine machine = harness.addMachine();
+    silent.request(vm, NON_REPEATABLE, NON_REPEATABLE_TIME_LEFT_MILLIS, service++);
     ScriptedMachine.Connection connection = machine.awaitRequest(vm);
-    silent.fallSilent();
-    ScriptedClient again = rig.connect();
-    again.handOver(vm, ONCE, machine.id(), 1);
+    silent.stopResponding();
+    ScriptedClient reconnected = harness.connect();
+    reconnected.handOver(vm, NON_REPEATABLE, machine.id(), 1);
     pause();
     connection.send(Message.ended(vm, Message.CAUSE_RESET, "dr"));
-    awaitTold(TOLD_WITHIN, vm, again);
+    awaitEndNotice(NOTICE_WITHIN, vm, reconnected);
   }
 
   @Example
-  void ownConnectionIsSilentAndOthersAcknowledge() throws Exception {
-    ScriptedMachine machine = rig.addMachine();
-    ScriptedClient other = rig.connect();
-    ScriptedClient silent = rig.connect();
+  void noticeGoesToOtherConnectionWhenOwnIsSilent() throws Exception {
+    ScriptedMachine machine = harness.addMachine();
+    ScriptedClient other = harness.connect();
+    ScriptedClient silent = harness.connect();
     for (ScriptedClient client : List.of(other, silent)) {
-      Offered earlier = offer(machine, client);
+      OfferedVm earlier = offer(machine, client);
       earlier.accept();
       earlier.connection.send(Message.of(Message.ENDED, earlier.vm, Message.CAUSE_DONE));
-      awaitTold(TOLD_WITHIN, earlier.vm, client);
+      awaitEndNotice(NOTICE_WITHIN, earlier.vm, client);
     }
-    Offered over = offer(machine, silent);
-    over.accept();
-    other.own(over.vm);
-    silent.fallSilent();
-    over.connection.send(Message.of(Message.ENDED, over.vm, Message.CAUSE_DONE));
-    awaitTold(TOLD_WITHIN, over.vm, other);
+    OfferedVm offered = offer(machine, silent);
+    offered.accept();
+    other.addOwnVm(offered.vm);
+    silent.stopResponding();
+    offered.connection.send(Message.of(Message.ENDED, offered.vm, Message.CAUSE_DONE));
+    awaitEndNotice(NOTICE_WITHIN, offered.vm, other);
   }
 
   @Example
-  void strangerAcknowledgesWhatNobodyKnows() throws Exception {
-    ScriptedMachine machine = rig.addMachine();
-    ScriptedClient own = rig.connect();
-    Offered over = offer(machine, own);
-    over.accept();
-    ScriptedClient owner = rig.connect();
-    owner.own(over.vm);
-    Offered others = offer(machine, owner);
-    others.accept();
-    ScriptedClient stranger = rig.connect();
-    Offered strangers = offer(machine, stranger);
-    strangers.accept();
-    stranger.fallSilent();
+  void acknowledgementsOfUnknownVmsDoNotDivertNotice() throws Exception {
+    ScriptedMachine machine = harness.addMachine();
+    ScriptedClient requester = harness.connect();
+    OfferedVm offered = offer(machine, requester);
+    offered.accept();
+    ScriptedClient owner = harness.connect();
+    owner.addOwnVm(offered.vm);
+    OfferedVm ownersVm = offer(machine, owner);
+    ownersVm.accept();
+    ScriptedClient stranger = harness.connect();
+    OfferedVm strangersVm = offer(machine, stranger);
+    strangersVm.accept();
+    stranger.stopResponding();
     for (int i = 0; i < 3; i++) {
-      stranger.acknowledge(rig.newVmId());
+      stranger.acknowledge(harness.newVmId());
     }
-    own.close();
+    requester.close();
     pause();
-    over.connection.send(Message.of(Message.ENDED, over.vm, Message.CAUSE_DONE));
-    awaitTold(TOLD_WITHIN_UNSAID, over.vm, owner);
+    offered.connection.send(Message.of(Message.ENDED, offered.vm, Message.CAUSE_DONE));
+    awaitEndNotice(NOTICE_WITHIN_UNREPORTED, offered.vm, owner);
   }
 
   @Example
-  void moreEndsThanOneMachineHasRoomFor() throws Exception {
-    ScriptedMachine machine = rig.addMachine();
-    ScriptedClient client = rig.connect();
-    Offered first = offer(machine, client);
+  void endsBeyondPerMachineLimitAreDelivered() throws Exception {
+    ScriptedMachine machine = harness.addMachine();
+    ScriptedClient client = harness.connect();
+    OfferedVm first = offer(machine, client);
     first.accept();
     List<String> vms = new ArrayList<>();
     for (int i = 0; i < 700; i++) {
-      vms.add(rig.newVmId());
+      vms.add(harness.newVmId());
     }
     vms.forEach(vm -> first.connection.send(Message.of(Message.ENDED, vm, Message.CAUSE_DONE)));
     pause();
     vms.forEach(vm -> client.handOver(vm, REPEATABLE, machine.id(), 1));
-    Awaitility.await("all ends are told")
-        .atMost(TOLD_WITHIN_UNSAID)
-        .until(() -> vms.stream().allMatch(client::isTold));
+    Awaitility.await("notices of all ends")
+        .atMost(NOTICE_WITHIN_UNREPORTED)
+        .until(() -> vms.stream().allMatch(client::hasEndNotice));
   }
 
   @Example
-  void machineHearsThatItsWordIsDelivered() throws Exception {
-    Offered over = offer(rig.addMachine(), rig.connect());
-    over.accept();
-    over.client.fallSilent();
-    over.connection.send(Message.of(Message.ENDED, over.vm, Message.CAUSE_DONE));
+  void endIsAcknowledgedToMachineAfterDelivery() throws Exception {
+    OfferedVm offered = offer(harness.addMachine(), harness.connect());
+    offered.accept();
+    offered.client.stopResponding();
+    offered.connection.send(Message.of(Message.ENDED, offered.vm, Message.CAUSE_DONE));
     pause();
-    assertThat(over.machine.hasReceived(Message.ACKNOWLEDGED, over.vm))
-        .as("acknowledged before any client has heard it")
+    assertThat(offered.machine.hasReceived(Message.ACKNOWLEDGED, offered.vm))
+        .as("acknowledged before any client received the notice")
         .isFalse();
-    over.client.acknowledge(over.vm);
-    Awaitility.await().until(() -> over.machine.hasReceived(Message.ACKNOWLEDGED, over.vm));
+    offered.client.acknowledge(offered.vm);
+    Awaitility.await().until(() -> offered.machine.hasReceived(Message.ACKNOWLEDGED, offered.vm));
   }
 
   @Example
-  void machineDiesAndAnotherIsListedAtItsAddressFirst() throws Exception {
-    Offered over = offer(rig.addMachine(), rig.connect());
-    over.accept();
-    ScriptedMachine successor = rig.replaceAtItsAddress(over.machine);
-    awaitTold(TOLD_WITHIN, over.vm, over.client);
-    Offered next = offer(successor, over.client);
+  void machineDiesAndSuccessorIsListedAtSameAddress() throws Exception {
+    OfferedVm offered = offer(harness.addMachine(), harness.connect());
+    offered.accept();
+    ScriptedMachine successor = harness.replaceAtSameAddress(offered.machine);
+    awaitEndNotice(NOTICE_WITHIN, offered.vm, offered.client);
+    OfferedVm next = offer(successor, offered.client);
     next.accept();
     next.connection.send(Message.of(Message.ENDED, next.vm, Message.CAUSE_DONE));
-    awaitTold(TOLD_WITHIN, next.vm, next.client);
+    awaitEndNotice(NOTICE_WITHIN, next.vm, next.client);
   }
 
   @Example
   void machineThatLostItsAddressIsListedOnceMore() throws Exception {
-    Offered over = offer(rig.addMachine(), rig.connect());
-    over.accept();
-    ScriptedMachine successor = rig.replaceAtItsAddress(over.machine);
-    awaitTold(TOLD_WITHIN, over.vm, over.client);
-    Offered next = offer(successor, over.client);
+    OfferedVm offered = offer(harness.addMachine(), harness.connect());
+    offered.accept();
+    ScriptedMachine successor = harness.replaceAtSameAddress(offered.machine);
+    awaitEndNotice(NOTICE_WITHIN, offered.vm, offered.client);
+    OfferedVm next = offer(successor, offered.client);
     next.accept();
-    rig.drain(over.machine);
+    harness.drain(offered.machine);
     pause();
-    assertThat(next.client.isTold(next.vm)).as("told to be over, and runs").isFalse();
-    offer(successor, over.client).accept();
+    assertThat(next.client.hasEndNotice(next.vm)).as("notice of an end, but the VM runs").isFalse();
+    offer(successor, offered.client).accept();
   }
 }
--- a/src/test/java/fordridge/faults/Fault.java
+++ b/src/test/java/fordridge/faults/Fault.java
@@ -1,92 +1,130 @@
 package fordridge.faults;
 
 /**
- * One fault of a plan.
+ * One fault that a {@link FaultPlan} injects.
  *
- * @param atMillis when it begins, since the load began
- * @param amount how long in milliseconds, how many calls, bytes or seconds, as the kind says
+ * @param atMillis when the fault begins, in milliseconds since the load began
+ * @param amount a duration in milliseconds or a number of calls, bytes, seconds or requests,
+ *     depending on the kind
  */
 record Fault(Kind kind, long atMillis, int amount) {
-  /** What is done; the bounds of the amount that a plan draws stand beside each. */
+  /** The kind of fault, each with the bounds of the amount that a generated plan draws. */
   enum Kind {
-    /** All clients' connections are reset between client and scheduler. */
+    /** Resets all clients' connections at the proxy before the scheduler. The amount is unused. */
     CLIENT_HOP_RESET(0, 1),
-    /** Nothing passes between clients and scheduler for so many milliseconds. */
+    /** The proxy forwards nothing between clients and scheduler for {@code amount} milliseconds. */
     CLIENT_HOP_SILENT(50, 600),
-    /** One client's connection dies without a word. */
+    /**
+     * One client's connection is lost without a FIN or RST: the proxy forwards nothing more on it.
+     */
     CLIENT_ABANDONED(0, 1),
-    /** One client closes its connection under its requests. */
+    /** One client closes its connection while requests are pending on it. */
     CLIENT_CLOSES(0, 1),
+    /** One client resets its connection while requests are pending on it. */
     CLIENT_RESETS(0, 1),
-    /** A connection that sends what can't be read. */
+    /** A client opens a connection and sends a malformed line. */
     CLIENT_MALFORMED(0, 1),
-    /** So many requests at once. */
+    /** Clients send {@code amount} requests at once. */
     CLIENT_BURST(20, 120),
-    /** Lines arrive in pieces of so many bytes. */
+    /** The proxies of clients and machine list write at most {@code amount} bytes at a time. */
     LINES_SPLIT(1, 40),
-    /** All connections to one machine are reset on the way. */
+    /** All connections to one machine are reset. The amount is unused. */
     MACHINE_HOP_RESET(0, 1),
-    /** The next connection to one machine is cut after so many of its bytes. */
+    /** As {@link #MACHINE_HOP_RESET}. The amount is drawn and unused. */
     MACHINE_HOP_CUT(10, 400),
-    /** Nothing passes between one machine and the scheduler for so many milliseconds. */
+    /** As {@link #MACHINE_HANGS}, with another range of the amount. */
     MACHINE_HOP_SILENT(100, 1200),
+    /** One machine sends nothing for {@code amount} milliseconds. */
     MACHINE_HANGS(100, 4000),
-    /** All machines say nothing for so many milliseconds. */
+    /** All machines send nothing for {@code amount} milliseconds. */
     ALL_MACHINES_HANG(500, 6000),
-    /** One machine is drained, and another takes its place. */
+    /** One machine is drained, and a new machine is listed in its place. */
     MACHINE_DRAINS(0, 1),
-    /** One machine dies, and is listed as gone so many milliseconds later. */
+    /** One machine dies, and is listed as deleted {@code amount} milliseconds later. */
     MACHINE_DIES(0, 800),
+    /** Resets the connections to the server of the machine list at its proxy. */
     LIST_HOP_RESET(0, 1),
+    /** The server of the machine list sends nothing for {@code amount} milliseconds. */
     LIST_SILENT(500, 3000),
-    /** The process is stopped for so many milliseconds, then goes on. */
+    /** The scheduler gets SIGSTOP, and SIGCONT {@code amount} milliseconds later. */
     PROCESS_STOPPED(100, 1200),
-    /** Killed and started again; so many requests come before its VMs are handed over. */
+    /**
+     * The scheduler is killed and restarted. Clients send {@code amount} requests to the new
+     * process before they hand the running VMs over to it.
+     */
     PROCESS_KILLED(0, 200),
-    /** SIGTERM, so many further signals until its end, and a new start. */
+    /**
+     * The scheduler gets SIGTERM and at most {@code amount} further signals (SIGHUP and SIGTERM in
+     * turn) until it ends, and is restarted.
+     */
     PROCESS_TERMINATED(0, 4),
+    /** The configuration is written anew, and the scheduler gets SIGHUP. */
     PROCESS_RELOADED(0, 1),
-    /** So many calls fail; the error is drawn from the amount. */
+    /** The next {@code amount} calls of accept fail. The amount selects the error too. */
     ACCEPT_FAILS(1, 6),
+    /** As {@link #ACCEPT_FAILS}, for connect. */
     CONNECT_FAILS(1, 6),
+    /** As {@link #ACCEPT_FAILS}, for socket. */
     SOCKET_FAILS(1, 4),
-    /** Reads and writes of at most so many bytes from now on. */
+    /** From now on a read from a socket returns at most {@code amount} bytes. */
     SHORT_READS(1, 40),
+    /** From now on a write to a socket takes at most {@code amount} bytes. */
     SHORT_WRITES(1, 40),
+    /** The next {@code amount} blocking calls of epoll_wait fail with EINTR. */
     WAITS_INTERRUPTED(1, 30),
-    /** The wall clock is stepped by so many seconds. */
+    /** The scheduler's wall clock is set to {@code amount} seconds ahead of the real one. */
     WALL_CLOCK_STEPPED(-3600, 3600),
-    /** Time used is charged when the process waits, every so many milliseconds at the latest. */
+    /**
+     * The scheduler's monotonic clock hardly advances between waits, and catches up when the
+     * process waits, or after {@code amount} milliseconds at the latest.
+     */
     CLOCK_METERED(100, 300),
-    /** The scheduler shares one core with so many busy processes, from its next start on. */
+    /** From its next start on, the scheduler shares one core with {@code amount} busy processes. */
     CORE_CONTENDED(1, 3),
-    /** The next handover comes while the process is stopped for so many milliseconds. */
+    /** The next handover is sent while the scheduler is stopped for {@code amount} milliseconds. */
     HANDOVER_STOPPED(300, 900),
-    /** The next handover comes while connections to machines take a second to come up. */
+    /**
+     * The next handover is sent while connections to machines can't be established: their accept
+     * queues are full for {@code amount} milliseconds.
+     */
     HANDOVER_CONNECTS_LATE(300, 900),
-    /** One machine's accept queue is full for so many milliseconds. */
+    /** One machine's accept queue is full for {@code amount} milliseconds. */
     MACHINE_ACCEPTS_LATE(100, 900),
-    /** So many clients connect and say nothing. */
+    /** {@code amount} clients connect and send nothing. */
     CLIENT_CROWD(50, 300),
-    /** One machine's answers come so many milliseconds late, and its other words overtake them. */
+    /**
+     * One machine's answers are delayed by {@code amount} milliseconds; its other messages are not,
+     * so they arrive first.
+     */
     MACHINE_ANSWERS_LATE(100, 900),
-    /** Three machines are drained, cut their VMs after so many milliseconds and are gone. */
+    /**
+     * Three machines are drained, end their VMs after {@code amount} milliseconds and are deleted.
+     */
     MACHINES_REPLACED(100, 900),
-    /** One machine's next so many answers are lost: their VMs run, and the connection is reset. */
+    /**
+     * One machine's next {@code amount} answers are lost: their VMs run, but the connection is
+     * reset instead of the answer.
+     */
     MACHINE_ANSWERS_LOST(1, 12),
-    /** So many answers come on another connection, as their own is reset before. */
+    /**
+     * One machine's next {@code amount} answers are sent on another connection, as the connection
+     * of their request is reset before.
+     */
     MACHINE_ANSWERS_ELSEWHERE(1, 12),
-    /** So many requests are withdrawn while they are under way. */
+    /** {@code amount} requests are sent and withdrawn while their offers are pending. */
     CLIENTS_GIVE_UP(5, 60),
-    /** One machine dies, another listens at its address; the first is listed as gone later. */
+    /**
+     * One machine dies, and a new machine is listed at its address at once. The first is listed as
+     * deleted {@code amount} milliseconds later.
+     */
     MACHINE_ADDRESS_TAKEN(0, 3000);
 
-    final int least;
-    final int most;
+    final int minAmount;
+    final int maxAmount;
 
-    Kind(int least, int most) {
-      this.least = least;
-      this.most = most;
+    Kind(int minAmount, int maxAmount) {
+      this.minAmount = minAmount;
+      this.maxAmount = maxAmount;
     }
   }
 
@@ -95,7 +133,7 @@
     return kind + "@" + atMillis + "=" + amount;
   }
 
-  /** Reads what {@link #toString} wrote. */
+  /** Parses the format that {@link #toString} writes. */
   static Fault parse(String text) {
     String[] parts = text.trim().split("[@=]", -1);
     return new Fault(Kind.valueOf(parts[0]), Long.parseLong(parts[1]), Integer.parseInt(parts[2]));
--- a/src/test/java/fordridge/faults/FaultCampaign.java
+++ b/src/test/java/fordridge/faults/FaultCampaign.java
@@ -7,43 +7,44 @@
 import java.util.concurrent.Future;
 
 /**
- * Plays many plans of faults. As a program: {@code FaultCampaign FIRST_SEED COUNT} plays drawn
- * plans and shrinks those that break something, {@code FaultCampaign KIND@MILLIS=AMOUNT...} plays
- * one that is written out. Exit code 1 if anything was broken.
+ * Runs many plans of faults. On the command line, {@code FaultCampaign FIRST_SEED COUNT} runs
+ * generated plans and shrinks those with violations, and {@code FaultCampaign
+ * KIND@MILLIS=AMOUNT...} runs one plan that is written out. The exit code is 1 if there was a
+ * violation.
  */
 final class FaultCampaign {
   private static final int PARALLEL_PLANS = 4;
 
   private FaultCampaign() {}
 
-  /** The plans of so many seeds from the first on that broke something. */
-  static List<FaultRig.Result> play(long first, int count) throws Exception {
-    ExecutorService players = Executors.newFixedThreadPool(PARALLEL_PLANS);
+  /** Runs the plans of {@code count} seeds from the first on; returns those with violations. */
+  static List<FaultHarness.Result> runPlans(long firstSeed, int count) throws Exception {
+    ExecutorService executor = Executors.newFixedThreadPool(PARALLEL_PLANS);
     try {
-      List<Future<FaultRig.Result>> plays = new ArrayList<>();
-      for (long seed = first; seed < first + count; seed++) {
-        FaultPlan plan = FaultPlan.drawn(seed);
-        plays.add(players.submit(() -> FaultRig.play(plan)));
+      List<Future<FaultHarness.Result>> futures = new ArrayList<>();
+      for (long seed = firstSeed; seed < firstSeed + count; seed++) {
+        FaultPlan plan = FaultPlan.generate(seed);
+        futures.add(executor.submit(() -> FaultHarness.run(plan)));
       }
-      List<FaultRig.Result> broken = new ArrayList<>();
-      for (Future<FaultRig.Result> play : plays) {
-        FaultRig.Result result = play.get();
+      List<FaultHarness.Result> failed = new ArrayList<>();
+      for (Future<FaultHarness.Result> future : futures) {
+        FaultHarness.Result result = future.get();
         if (!result.violations().isEmpty()) {
-          broken.add(result);
+          failed.add(result);
         }
       }
-      return broken;
+      return failed;
     } finally {
-      players.shutdownNow();
+      executor.shutdownNow();
     }
   }
 
-  /** Leaves faults out one by one for as long as the plan still breaks something. */
-  static FaultRig.Result shrink(FaultRig.Result broken) throws Exception {
-    FaultRig.Result smallest = broken;
+  /** Leaves out faults, one at a time, without which the plan still has a violation. */
+  static FaultHarness.Result shrink(FaultHarness.Result failed) throws Exception {
+    FaultHarness.Result smallest = failed;
     for (int i = smallest.plan().faults().size() - 1; i >= 0; i--) {
       if (smallest.plan().faults().size() > 1) {
-        FaultRig.Result smaller = FaultRig.play(smallest.plan().without(i));
+        FaultHarness.Result smaller = FaultHarness.run(smallest.plan().without(i));
         if (!smaller.violations().isEmpty()) {
           smallest = smaller;
         }
@@ -52,33 +53,33 @@
     return smallest;
   }
 
-  /** Plays what the arguments name, see the class. */
+  /** Runs the plans that the arguments name, as described at the class. */
   public static void main(String[] arguments) throws Exception {
     if (arguments.length == 0) {
       System.err.println("usage: FaultCampaign FIRST_SEED COUNT | KIND@MILLIS=AMOUNT...");
       System.exit(2);
     }
-    List<FaultRig.Result> broken = new ArrayList<>();
+    List<FaultHarness.Result> failed = new ArrayList<>();
     if (arguments[0].contains("@")) {
-      FaultRig.Result result = FaultRig.play(FaultPlan.of(arguments));
+      FaultHarness.Result result = FaultHarness.run(FaultPlan.of(arguments));
       System.out.println(result.summary());
       result.log().forEach(System.out::println);
       if (!result.violations().isEmpty()) {
-        broken.add(result);
+        failed.add(result);
       }
     } else {
-      for (FaultRig.Result result :
-          play(Long.parseLong(arguments[0]), Integer.parseInt(arguments[1]))) {
-        System.out.println("broken: " + result.plan() + " " + result.violations());
-        broken.add(shrink(result));
+      for (FaultHarness.Result result :
+          runPlans(Long.parseLong(arguments[0]), Integer.parseInt(arguments[1]))) {
+        System.out.println("failed: " + result.plan() + " " + result.violations());
+        failed.add(shrink(result));
       }
     }
-    for (FaultRig.Result result : broken) {
+    for (FaultHarness.Result result : failed) {
       System.out.println("smallest: " + result.plan());
       result.violations().forEach(violation -> System.out.println("  " + violation));
       result.log().forEach(line -> System.out.println("  | " + line));
     }
-    System.out.println(broken.size() + " plans broken");
-    System.exit(broken.isEmpty() ? 0 : 1);
+    System.out.println(failed.size() + " plans failed");
+    System.exit(failed.isEmpty() ? 0 : 1);
   }
 }
--- a/src/test/java/fordridge/faults/FaultRig.java
+++ b/src/test/java/fordridge/faults/FaultHarness.java
@@ -15,45 +15,48 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Plays a plan of faults against one real {@code serve} process on loopback, between emulated
- * clients, machines and the server of the machine list, each behind a proxy.
+ * Runs a plan of faults against one real {@code serve} process on loopback, with fake clients, fake
+ * machines and a fake server of the machine list. Clients and the machine list are connected
+ * through a proxy.
  */
-final class FaultRig implements AutoCloseable {
-  /** What came of a plan. */
+final class FaultHarness implements AutoCloseable {
+  /** The outcome of one plan. */
   record Result(
       FaultPlan plan,
       List<String> violations,
-      int declined,
+      int rejected,
       int emptyPolls,
       String summary,
       List<String> log) {}
 
-  private static final AtomicInteger RIGS = new AtomicInteger();
+  private static final AtomicInteger INSTANCE_COUNT = new AtomicInteger();
 
-  /** Below the ports that the kernel gives to others: a machine could get a port that is free. */
+  /**
+   * Below the kernel's range of ephemeral ports, as a machine could get this port while it is free.
+   */
   private static final int LISTEN_PORT = 21_000;
 
   private static final long CONNECT_TIMEOUT_MILLIS = 250;
   private static final long LONG_CONNECT_TIMEOUT_MILLIS = 3000;
 
-  /** Between the requests that come right after a start, and the handover. */
+  /** The delay between the requests that are sent right after a start and the handover. */
   private static final long HANDOVER_DELAY_MILLIS = 20;
 
-  /** Longer than machines take to answer. */
-  private static final int MAX_GIVE_UP_MILLIS = 40;
+  /** The longest delay of a withdrawal after its request; longer than machines take to answer. */
+  private static final int MAX_WITHDRAWAL_DELAY_MILLIS = 40;
 
   private static final long LATE_HANDOVER_DELAY_MILLIS = 100;
 
-  /** Of each service, the limit runs on all machines of its kind but one. */
-  private static final int SERVICES_AT_START = 16;
+  /** The number of services that run up to the limit on all machines of their kind but one. */
+  private static final int SERVICES_AT_LIMIT = 16;
 
   private static final int CLIENT_CONNECTIONS = 4;
   private static final long REQUEST_INTERVAL_MILLIS = 12;
-  private static final long SETTLE_MILLIS = 10_500;
+  private static final long SETTLE_TIMEOUT_MILLIS = 10_500;
 
   private static final int MACHINES_REPLACED_AT_ONCE = 3;
 
-  /** The longest deadline of the settings, and what SIGKILL leaves beyond it. */
+  /** SIGKILL follows SIGTERM after the longest deadline in the settings (3 s) and 0.7 s more. */
   private static final long KILL_DELAY_MILLIS = 3000 + 700;
 
   private static final long NEW_CONNECTIONS_AFTER_TERM_MILLIS = 300;
@@ -62,65 +65,65 @@
 
   private final FaultPlan plan;
   private final SplittableRandom random;
-  private final ObligationLedger ledger = new ObligationLedger();
-  private final PlacementLedger placements = new PlacementLedger(ledger::now);
+  private final ProtocolChecker checker = new ProtocolChecker();
+  private final PlacementChecker placementChecker = new PlacementChecker(checker::now);
   private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(2);
   private final MachineFleet fleet;
   private final MachineListServer machineList;
-  private final FaultProxy listHop;
-  private final FaultProxy clientHop;
-  private final EmulatedClients clients;
+  private final FaultProxy machineListProxy;
+  private final FaultProxy clientProxy;
+  private final FakeClients clients;
   private final Optional<SystemCallShim> shim;
-  private final InetAddress address = nextAddress();
-  private final Path configuration = Files.createTempFile("fault-rig", ".json");
+  private final InetAddress address = uniqueLoopbackAddress();
+  private final Path configuration = Files.createTempFile("fault-harness", ".json");
   private final List<String> log = new ArrayList<>();
   private ServeProcess process;
-  private Optional<BusyProcesses> contention = Optional.empty();
+  private Optional<BusyProcesses> busyProcesses = Optional.empty();
   private int handoverStoppedMillis;
   private int handoverConnectsLateMillis;
 
-  private FaultRig(FaultPlan plan) throws IOException, InterruptedException {
+  private FaultHarness(FaultPlan plan) throws IOException, InterruptedException {
     this.plan = plan;
     random = new SplittableRandom(plan.seed());
-    fleet = new MachineFleet(address, timers, ledger, placements, plan.seed());
-    machineList = new MachineListServer(address, timers, fleet.all());
-    fleet.listedBy(machineList);
-    listHop = new FaultProxy(address, machineList::port);
-    clientHop = new FaultProxy(address, () -> LISTEN_PORT);
+    fleet = new MachineFleet(address, timers, checker, placementChecker, plan.seed());
+    machineList = new MachineListServer(address, timers, fleet.allMachines());
+    fleet.setMachineList(machineList);
+    machineListProxy = new FaultProxy(address, machineList::port);
+    clientProxy = new FaultProxy(address, () -> LISTEN_PORT);
     clients =
-        new EmulatedClients(
+        new FakeClients(
             address,
-            clientHop.port(),
+            clientProxy.port(),
             () -> LISTEN_PORT,
             CLIENT_CONNECTIONS,
-            ledger,
-            placements,
+            checker,
+            placementChecker,
             plan.seed());
     shim = SystemCallShim.create();
   }
 
-  /** Plays the plan; the result names each rule that was broken. */
-  static Result play(FaultPlan plan) throws IOException, InterruptedException {
-    try (FaultRig rig = new FaultRig(plan)) {
-      rig.start();
-      rig.runLoad();
-      rig.settle();
-      rig.log.addAll(rig.process.log());
-      rig.placements.violations().forEach(rig.ledger::violation);
-      int emptyPolls = rig.shim.map(shim -> shim.get(Slot.EMPTY_POLLS)).orElse(0);
+  /** Runs the plan; the result lists each violation of the protocol. */
+  static Result run(FaultPlan plan) throws IOException, InterruptedException {
+    try (FaultHarness harness = new FaultHarness(plan)) {
+      harness.start();
+      harness.runLoad();
+      harness.awaitSettled();
+      harness.log.addAll(harness.process.log());
+      harness.placementChecker.violations().forEach(harness.checker::addViolation);
+      int emptyPolls = harness.shim.map(shim -> shim.get(Slot.EMPTY_POLLS)).orElse(0);
       return new Result(
           plan,
-          rig.ledger.close(),
-          rig.ledger.declined(),
+          harness.checker.finish(),
+          harness.checker.rejected(),
           emptyPolls,
-          rig.ledger.summary(),
-          rig.log);
+          harness.checker.summary(),
+          harness.log);
     }
   }
 
-  /** An address of this rig alone, also beside another campaign's process. */
-  private static InetAddress nextAddress() throws IOException {
-    int number = RIGS.getAndIncrement();
+  /** A loopback address that no other harness uses, in this process or in another campaign's. */
+  private static InetAddress uniqueLoopbackAddress() throws IOException {
+    int number = INSTANCE_COUNT.getAndIncrement();
     return InetAddress.getByAddress(
         new byte[] {
           127,
@@ -136,28 +139,31 @@
         new ServeProcess(
             configuration,
             shim,
-            contention.isPresent() ? BusyProcesses.onCore(contention.get().core()) : List.of());
+            busyProcesses.isPresent()
+                ? BusyProcesses.onCore(busyProcesses.get().core())
+                : List.of());
     process.awaitListening();
   }
 
   private String configurationText() {
     boolean connectsLate =
-        plan.has(Fault.Kind.HANDOVER_CONNECTS_LATE) || plan.has(Fault.Kind.MACHINE_ACCEPTS_LATE);
-    return new RigConfiguration(
+        plan.contains(Fault.Kind.HANDOVER_CONNECTS_LATE)
+            || plan.contains(Fault.Kind.MACHINE_ACCEPTS_LATE);
+    return new HarnessConfiguration(
             address.getHostAddress(),
             LISTEN_PORT,
-            listHop.port(),
-            machineList.known(),
+            machineListProxy.port(),
+            machineList.knownEvents(),
             connectsLate ? LONG_CONNECT_TIMEOUT_MILLIS : CONNECT_TIMEOUT_MILLIS)
         .text();
   }
 
   private void runLoad() throws IOException, InterruptedException {
-    long begin = ledger.now();
+    long begin = checker.now();
     int next = 0;
-    while (ledger.now() - begin < plan.loadMillis()) {
+    while (checker.now() - begin < plan.loadMillis()) {
       while (next < plan.faults().size()
-          && ledger.now() - begin >= plan.faults().get(next).atMillis()) {
+          && checker.now() - begin >= plan.faults().get(next).atMillis()) {
         inject(plan.faults().get(next++));
       }
       clients.sendRequest();
@@ -165,28 +171,28 @@
     }
   }
 
-  /** Waits until nothing is owed, or it is overdue. */
-  private void settle() throws InterruptedException {
-    long until = ledger.now() + SETTLE_MILLIS;
-    while (!ledger.isSettled() && ledger.now() < until) {
+  /** Waits until all obligations are met, or are overdue. */
+  private void awaitSettled() throws InterruptedException {
+    long until = checker.now() + SETTLE_TIMEOUT_MILLIS;
+    while (!checker.isSettled() && checker.now() < until) {
       Thread.sleep(20);
     }
     if (!process.isAlive()) {
-      ledger.violation("the process ended by itself");
+      checker.addViolation("the scheduler process exited without a signal from the harness");
     }
   }
 
   private void inject(Fault fault) throws IOException, InterruptedException {
-    log.add(ledger.now() + " fault " + fault);
+    log.add(checker.now() + " fault " + fault);
     int amount = fault.amount();
     switch (fault.kind()) {
       case CLIENT_HOP_RESET -> resetClients();
       case CLIENT_HOP_SILENT -> {
-        clientHop.fallSilent(amount);
-        ledger.schedulerPaused(amount);
-        ledger.requestsDelayed(amount);
+        clientProxy.blockTraffic(amount);
+        checker.schedulerPaused(amount);
+        checker.requestsDelayed(amount);
       }
-      case CLIENT_ABANDONED -> clientHop.silence(clients.abandonOne());
+      case CLIENT_ABANDONED -> clientProxy.blackhole(clients.loseOneSilently());
       case CLIENT_CLOSES -> clients.closeOne(false);
       case CLIENT_RESETS -> clients.closeOne(true);
       case CLIENT_MALFORMED -> clients.sendMalformed();
@@ -196,37 +202,37 @@
         }
       }
       case LINES_SPLIT -> {
-        clientHop.splitInto(amount);
-        listHop.splitInto(amount);
+        clientProxy.limitWrites(amount);
+        machineListProxy.limitWrites(amount);
       }
       case MACHINE_HOP_RESET, MACHINE_HOP_CUT -> {
-        fleet.any().resetConnections();
-        ledger.noticeObstructed();
+        fleet.randomMachine().resetConnections();
+        checker.noticesObstructed();
       }
       case MACHINE_HOP_SILENT, MACHINE_HANGS -> {
-        ledger.machineUnreachable();
-        fleet.any().hang(amount);
+        checker.machineUnreachable();
+        fleet.randomMachine().hang(amount);
       }
       case ALL_MACHINES_HANG -> {
-        ledger.machineUnreachable();
-        fleet.all().forEach(machine -> machine.hang(amount));
+        checker.machineUnreachable();
+        fleet.allMachines().forEach(machine -> machine.hang(amount));
       }
       case MACHINE_DRAINS -> fleet.drain();
       case MACHINE_DIES -> fleet.kill(amount);
-      case MACHINE_ANSWERS_LATE -> fleet.any().answerLate(amount);
+      case MACHINE_ANSWERS_LATE -> fleet.randomMachine().answerLate(amount);
       case MACHINES_REPLACED -> {
         for (int i = 0; i < MACHINES_REPLACED_AT_ONCE; i++) {
           fleet.replace(amount);
         }
       }
-      case MACHINE_ANSWERS_LOST -> fleet.any().loseAnswers(amount);
-      case MACHINE_ANSWERS_ELSEWHERE -> fleet.any().answerElsewhere(amount);
-      case CLIENTS_GIVE_UP -> giveUp(amount);
-      case MACHINE_ADDRESS_TAKEN -> fleet.takeAddress(amount);
-      case LIST_HOP_RESET -> listHop.resetConnections();
+      case MACHINE_ANSWERS_LOST -> fleet.randomMachine().loseAnswers(amount);
+      case MACHINE_ANSWERS_ELSEWHERE -> fleet.randomMachine().answerElsewhere(amount);
+      case CLIENTS_GIVE_UP -> sendRequestsToWithdraw(amount);
+      case MACHINE_ADDRESS_TAKEN -> fleet.killAndReuseAddress(amount);
+      case LIST_HOP_RESET -> machineListProxy.resetConnections();
       case LIST_SILENT -> {
-        machineList.fallSilent(amount);
-        fleet.listSilentFor(amount);
+        machineList.stopSending(amount);
+        fleet.machineListSilentFor(amount);
       }
       default -> injectIntoProcess(fault);
     }
@@ -234,7 +240,7 @@
 
   private void resetClients() {
     clients.connectionsCutByFault();
-    clientHop.resetConnections();
+    clientProxy.resetConnections();
   }
 
   private void injectIntoProcess(Fault fault) throws IOException, InterruptedException {
@@ -243,22 +249,22 @@
       case PROCESS_STOPPED -> {
         process.signal("STOP");
         Thread.sleep(amount);
-        ledger.schedulerPaused(amount);
+        checker.schedulerPaused(amount);
         process.signal("CONT");
       }
       case PROCESS_KILLED -> killProcess(amount);
       case PROCESS_TERMINATED -> terminateProcess(amount);
       case CORE_CONTENDED -> {
-        stopContention();
-        contention = Optional.of(BusyProcesses.start(random.nextInt(CORES), amount));
+        stopBusyProcesses();
+        busyProcesses = Optional.of(BusyProcesses.start(random.nextInt(CORES), amount));
       }
       case HANDOVER_STOPPED -> handoverStoppedMillis = amount;
       case HANDOVER_CONNECTS_LATE -> handoverConnectsLateMillis = amount;
       case MACHINE_ACCEPTS_LATE -> {
-        ledger.machineUnreachable();
-        fleet.any().acceptLate(amount);
+        checker.machineUnreachable();
+        fleet.randomMachine().acceptLate(amount);
       }
-      case CLIENT_CROWD -> clients.connectCrowd(amount);
+      case CLIENT_CROWD -> clients.connectIdleClients(amount);
       case PROCESS_RELOADED -> {
         Files.writeString(configuration, configurationText());
         process.signal("HUP");
@@ -273,17 +279,17 @@
     }
     SystemCallFaults.inject(fault, shim.get());
     if (fault.kind() == Fault.Kind.CLOCK_METERED) {
-      ledger.clocksMetered(fault.amount());
+      checker.clocksMetered(fault.amount());
     }
     if (fault.kind() == Fault.Kind.ACCEPT_FAILS) {
-      // So that there is something to accept.
+      // A client reconnects, so that the scheduler calls accept.
       clients.closeOne(false);
     }
   }
 
-  /** Requests that their clients withdraw while machines are about to answer them. */
+  /** Sends requests that their clients withdraw at about the time when machines answer them. */
   @SuppressWarnings("FutureReturnValueIgnored") // Nothing waits for it.
-  private void giveUp(int requests) {
+  private void sendRequestsToWithdraw(int requests) {
     for (int i = 0; i < requests; i++) {
       clients
           .sendRequestToWithdraw()
@@ -291,14 +297,14 @@
               id ->
                   timers.schedule(
                       () -> clients.withdraw(id),
-                      random.nextInt(MAX_GIVE_UP_MILLIS),
+                      random.nextInt(MAX_WITHDRAWAL_DELAY_MILLIS),
                       TimeUnit.MILLISECONDS));
     }
   }
 
   private void killProcess(int requestsBeforeHandover) throws IOException, InterruptedException {
-    long begin = ledger.now();
-    // Before the signal: what the clients see of it must not count as the scheduler's doing.
+    long begin = checker.now();
+    // Called before the signal, as connections that the kill closes are no violation.
     clients.schedulerWillBeKilled();
     process.signal("KILL");
     process.awaitEnd(2000);
@@ -310,43 +316,45 @@
     clients.schedulerEnded();
     log.addAll(process.log());
     process.close();
-    hostEarlierVms();
+    addExistingVms();
     start();
     clients.awaitReady();
-    ledger.schedulerPaused(ledger.now() - killedAt);
+    checker.schedulerPaused(checker.now() - killedAt);
     handOver(requestsBeforeHandover);
-    ledger.noticeObstructed();
+    checker.noticesObstructed();
   }
 
-  /** VMs of a busier past: the limit of each service on all machines of the kind but one. */
-  private void hostEarlierVms() {
-    for (int service = 1; service <= SERVICES_AT_START; service++) {
-      int spared = random.nextInt(fleet.live().size());
-      for (int i = 0; i < fleet.live().size(); i++) {
-        EmulatedMachine machine = fleet.live().get(i);
-        if (i != spared && machine.kind().equals(PlacementLedger.LIMITED_CLASS_KIND)) {
-          hostUpToLimit(service, machine);
+  /**
+   * Adds existing VMs, so that each service is at its limit on all machines of the kind but one.
+   */
+  private void addExistingVms() {
+    for (int service = 1; service <= SERVICES_AT_LIMIT; service++) {
+      int skipped = random.nextInt(fleet.liveMachines().size());
+      for (int i = 0; i < fleet.liveMachines().size(); i++) {
+        FakeMachine machine = fleet.liveMachines().get(i);
+        if (i != skipped && machine.kind().equals(PlacementChecker.LIMITED_CLASS_KIND)) {
+          addExistingVmsUpToLimit(service, machine);
         }
       }
     }
   }
 
-  private void hostUpToLimit(int service, EmulatedMachine machine) {
+  private void addExistingVmsUpToLimit(int service, FakeMachine machine) {
     int count = clients.countRunning(service, machine.id());
-    for (int i = count; i < PlacementLedger.MOST_PER_MACHINE; i++) {
-      machine.host(clients.knowVm(service, machine.id()));
+    for (int i = count; i < PlacementChecker.MAX_VMS_PER_MACHINE; i++) {
+      machine.addExistingVm(clients.addExistingVm(service, machine.id()));
     }
   }
 
   private void handOver(int requestsBefore) throws IOException, InterruptedException {
     boolean connectsLate = handoverConnectsLateMillis > 0;
     if (connectsLate) {
-      for (EmulatedMachine machine : fleet.live()) {
+      for (FakeMachine machine : fleet.liveMachines()) {
         machine.acceptLate(handoverConnectsLateMillis);
       }
-      ledger.machineUnreachable();
+      checker.machineUnreachable();
     }
-    long stoppedAt = ledger.now();
+    long stoppedAt = checker.now();
     if (handoverStoppedMillis > 0) {
       process.signal("STOP");
     }
@@ -356,57 +364,60 @@
     if (handoverStoppedMillis > 0) {
       Thread.sleep(handoverStoppedMillis);
       process.signal("CONT");
-      ledger.schedulerPaused(ledger.now() - stoppedAt);
+      checker.schedulerPaused(checker.now() - stoppedAt);
     }
     handoverStoppedMillis = 0;
     handoverConnectsLateMillis = 0;
   }
 
-  /** SIGTERM, requests on open connections until SIGKILL, further signals, and a new start. */
+  /**
+   * Sends SIGTERM and the further signals, sends requests on open connections until the process
+   * ends or is due for SIGKILL, and restarts it.
+   */
   private void terminateProcess(int furtherSignals) throws IOException, InterruptedException {
-    long begin = ledger.now();
+    long begin = checker.now();
     process.signal("TERM");
     int signals = 0;
-    while (ledger.now() - begin < KILL_DELAY_MILLIS && process.isAlive()) {
-      boolean connectionsCome = ledger.now() - begin < NEW_CONNECTIONS_AFTER_TERM_MILLIS;
-      if (connectionsCome || clients.hasOpenConnection()) {
-        clients.sendRequestOnOpen(connectionsCome);
+    while (checker.now() - begin < KILL_DELAY_MILLIS && process.isAlive()) {
+      boolean mayConnect = checker.now() - begin < NEW_CONNECTIONS_AFTER_TERM_MILLIS;
+      if (mayConnect || clients.hasOpenConnection()) {
+        clients.sendRequestOnOpen(mayConnect);
       }
       if (signals < furtherSignals
-          && ledger.now() - begin > (signals + 1) * SIGNAL_INTERVAL_MILLIS) {
+          && checker.now() - begin > (signals + 1) * SIGNAL_INTERVAL_MILLIS) {
         process.signal(signals++ % 2 == 0 ? "HUP" : "TERM");
       }
       Thread.sleep(REQUEST_INTERVAL_MILLIS);
     }
     if (process.isAlive()) {
       clients
-          .openFor(100)
-          .forEach(id -> ledger.violation(id + ": unanswered at SIGKILL after SIGTERM"));
+          .requestsOpenLongerThan(100)
+          .forEach(id -> checker.addViolation(id + ": no response before SIGKILL after SIGTERM"));
       process.signal("KILL");
     }
     process.awaitEnd(2000);
-    // What the process wrote before its end is still read.
+    // Lets the clients read what the process wrote before it ended.
     Thread.sleep(100);
-    restart(ledger.now(), 0);
+    restart(checker.now(), 0);
   }
 
-  private void stopContention() {
-    contention.ifPresent(BusyProcesses::close);
-    contention = Optional.empty();
+  private void stopBusyProcesses() {
+    busyProcesses.ifPresent(BusyProcesses::close);
+    busyProcesses = Optional.empty();
   }
 
   @Override
   public void close() throws IOException {
-    stopContention();
+    stopBusyProcesses();
     clients.close();
     if (process != null) {
       process.close();
     }
     timers.shutdownNow();
-    clientHop.close();
-    listHop.close();
+    clientProxy.close();
+    machineListProxy.close();
     machineList.close();
-    for (EmulatedMachine machine : fleet.all()) {
+    for (FakeMachine machine : fleet.allMachines()) {
       machine.close();
     }
     if (shim.isPresent()) {
--- a/src/test/java/fordridge/faults/FaultProxy.java
+++ b/src/test/java/fordridge/faults/FaultProxy.java
@@ -10,37 +10,39 @@
 import java.util.List;
 import java.util.function.IntSupplier;
 
-/** Passes bytes on between one listening port and a target, and spoils the hop as it is told. */
+/** Forwards bytes between a listening port and a target port, and injects faults on the way. */
 final class FaultProxy implements AutoCloseable {
   private static final int BUFFER_BYTES = 4096;
 
   private final InetAddress address;
   private final ServerSocket server;
   private final IntSupplier targetPort;
-  private final List<Link> links = new ArrayList<>();
-  private volatile int chunkBytes = BUFFER_BYTES;
+  private final List<ProxiedConnection> connections = new ArrayList<>();
+  private volatile int maxWriteBytes = BUFFER_BYTES;
   private volatile long delayMillis;
-  private volatile long silentUntilNanos;
-  private volatile long cutNextAfterBytes = Long.MAX_VALUE;
+  private volatile long blockedUntilNanos;
+  private volatile long resetNextAfterBytes = Long.MAX_VALUE;
 
-  private static final class Link {
-    final Socket near;
-    final Socket far;
-    volatile boolean isSilent;
+  private static final class ProxiedConnection {
+    final Socket downstream;
+    final Socket upstream;
+    volatile boolean isBlackholed;
 
-    Link(Socket near, Socket far) {
-      this.near = near;
-      this.far = far;
+    ProxiedConnection(Socket downstream, Socket upstream) {
+      this.downstream = downstream;
+      this.upstream = upstream;
     }
 
     void reset() {
-      resetSocket(near);
-      resetSocket(far);
+      resetSocket(downstream);
+      resetSocket(upstream);
     }
   }
 
   /**
-   * A proxy at the address, for the server that listens there at that port when a connection comes.
+   * A proxy that listens at any port of the address.
+   *
+   * @param targetPort the port of the same address to connect to, read at each new connection
    */
   FaultProxy(InetAddress address, IntSupplier targetPort) throws IOException {
     this.address = address;
@@ -58,41 +60,41 @@
   private void accept() {
     try {
       while (true) {
-        Socket near = server.accept();
+        Socket downstream = server.accept();
         try {
-          connect(near);
+          connect(downstream);
         } catch (IOException e) {
-          resetSocket(near);
+          resetSocket(downstream);
         }
       }
     } catch (IOException e) {
-      // Closed.
+      // The listening socket was closed.
     }
   }
 
-  private void connect(Socket near) throws IOException {
-    Socket far = new Socket(address, targetPort.getAsInt());
-    near.setTcpNoDelay(true);
-    far.setTcpNoDelay(true);
-    Link link = new Link(near, far);
-    synchronized (links) {
-      links.add(link);
+  private void connect(Socket downstream) throws IOException {
+    Socket upstream = new Socket(address, targetPort.getAsInt());
+    downstream.setTcpNoDelay(true);
+    upstream.setTcpNoDelay(true);
+    ProxiedConnection connection = new ProxiedConnection(downstream, upstream);
+    synchronized (connections) {
+      connections.add(connection);
     }
-    long cutAfter = cutNextAfterBytes;
-    cutNextAfterBytes = Long.MAX_VALUE;
-    pump(link, near, far, Long.MAX_VALUE);
-    pump(link, far, near, cutAfter);
+    long resetAfterBytes = resetNextAfterBytes;
+    resetNextAfterBytes = Long.MAX_VALUE;
+    pump(connection, downstream, upstream, Long.MAX_VALUE);
+    pump(connection, upstream, downstream, resetAfterBytes);
   }
 
-  private void pump(Link link, Socket from, Socket to, long cutAfter) {
+  private void pump(ProxiedConnection connection, Socket from, Socket to, long resetAfterBytes) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                copy(link, from, to, cutAfter);
+                copy(connection, from, to, resetAfterBytes);
                 to.shutdownOutput();
               } catch (IOException | InterruptedException e) {
-                link.reset();
+                connection.reset();
               }
             },
             "proxy-pump");
@@ -100,29 +102,29 @@
     thread.start();
   }
 
-  private void copy(Link link, Socket from, Socket to, long cutAfter)
+  private void copy(ProxiedConnection connection, Socket from, Socket to, long resetAfterBytes)
       throws IOException, InterruptedException {
     InputStream in = from.getInputStream();
     OutputStream out = to.getOutputStream();
     byte[] buffer = new byte[BUFFER_BYTES];
     long total = 0;
     for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-      pause(link);
-      for (int at = 0; at < count; at += chunkBytes) {
-        out.write(buffer, at, Math.min(chunkBytes, count - at));
+      awaitForwarding(connection);
+      for (int offset = 0; offset < count; offset += maxWriteBytes) {
+        out.write(buffer, offset, Math.min(maxWriteBytes, count - offset));
       }
       total += count;
-      if (total >= cutAfter) {
-        throw new IOException("cut");
+      if (total >= resetAfterBytes) {
+        throw new IOException("byte limit reached: resetting the connection");
       }
     }
   }
 
-  private void pause(Link link) throws InterruptedException {
+  private void awaitForwarding(ProxiedConnection connection) throws InterruptedException {
     if (delayMillis > 0) {
       Thread.sleep(delayMillis);
     }
-    while (link.isSilent || System.nanoTime() < silentUntilNanos) {
+    while (connection.isBlackholed || System.nanoTime() < blockedUntilNanos) {
       Thread.sleep(5);
     }
   }
@@ -132,46 +134,46 @@
       socket.setSoLinger(true, 0);
       socket.close();
     } catch (IOException e) {
-      // Closed before.
+      // Already closed.
     }
   }
 
-  /** Passes on at most so many bytes in one write. */
-  void splitInto(int bytes) {
-    chunkBytes = bytes;
+  /** Forwards at most this many bytes in one write. */
+  void limitWrites(int bytes) {
+    maxWriteBytes = bytes;
   }
 
-  /** Holds each piece back for this long. */
+  /** Delays the bytes of each read by this time. */
   void delay(long millis) {
     delayMillis = millis;
   }
 
-  /** Passes nothing on for this long; connections stay open. */
-  void fallSilent(long millis) {
-    silentUntilNanos = System.nanoTime() + millis * 1_000_000;
+  /** Forwards nothing for this time; connections stay open. */
+  void blockTraffic(long millis) {
+    blockedUntilNanos = System.nanoTime() + millis * 1_000_000;
   }
 
-  /** Resets the next connection once its server has sent so many bytes. */
-  void cutNextAfter(long bytes) {
-    cutNextAfterBytes = bytes;
+  /** Resets the next connection once the target has sent this many bytes. */
+  void resetNextAfter(long bytes) {
+    resetNextAfterBytes = bytes;
   }
 
-  /** Passes nothing on any more on the connection that comes from this port, without a word. */
-  void silence(int nearPort) {
-    synchronized (links) {
-      for (Link link : links) {
-        link.isSilent |= link.near.getPort() == nearPort;
+  /** Forwards nothing more on the connection from this port, and closes neither side. */
+  void blackhole(int downstreamPort) {
+    synchronized (connections) {
+      for (ProxiedConnection connection : connections) {
+        connection.isBlackholed |= connection.downstream.getPort() == downstreamPort;
       }
     }
   }
 
   void resetConnections() {
-    List<Link> all;
-    synchronized (links) {
-      all = List.copyOf(links);
-      links.clear();
+    List<ProxiedConnection> all;
+    synchronized (connections) {
+      all = List.copyOf(connections);
+      connections.clear();
     }
-    all.forEach(Link::reset);
+    all.forEach(ProxiedConnection::reset);
   }
 
   @Override
--- a/src/test/java/fordridge/faults/FaultRigTest.java
+++ b/src/test/java/fordridge/faults/FaultRigTest.java
@@ -6,8 +6,8 @@
 import net.jqwik.api.Example;
 
 /**
- * Real scheduler processes under faults keep what they owe: some crossings that are forced, and a
- * few drawn plans. {@link FaultCampaign} plays more.
+ * Real scheduler processes meet the obligations of the protocol under faults: some race conditions
+ * that are forced, and a few generated plans. {@link FaultCampaign} runs more.
  */
 class FaultRigTest {
   private static final long FIRST_SEED = 1;
@@ -15,36 +15,41 @@
   private static final int MAX_EMPTY_POLLS = 10_000;
   private static final int LOG_LINES_SHOWN = 2000;
 
-  private static FaultRig.Result assertKept(FaultPlan plan) throws Exception {
-    FaultRig.Result result = FaultRig.play(plan);
-    System.out.println(plan + ": " + result.summary() + ", broken " + result.violations().size());
+  private static FaultHarness.Result assertNoViolations(FaultPlan plan) throws Exception {
+    FaultHarness.Result result = FaultHarness.run(plan);
+    System.out.println(
+        plan + ": " + result.summary() + ", violations " + result.violations().size());
     assertThat(result.violations()).as(() -> describe(result)).isEmpty();
     return result;
   }
 
-  private static String describe(FaultRig.Result result) {
+  private static String describe(FaultHarness.Result result) {
     List<String> log = result.log();
     return result.plan()
         + "\n"
         + String.join("\n", log.subList(Math.max(0, log.size() - LOG_LINES_SHOWN), log.size()));
   }
 
-  /** A loop that polls uses up a share of a core, and is charged for it in one go. */
+  /**
+   * An event loop that polls instead of blocking uses up CPU time, which a metered clock charges at
+   * once.
+   */
   @Example
-  void loopBlocksUntilItsNextTimerAndDoesNotPoll() throws Exception {
-    FaultRig.Result result = assertKept(FaultPlan.of("CLOCK_METERED@0=300", "CLIENT_BURST@500=60"));
+  void eventLoopBlocksUntilNextTimer() throws Exception {
+    FaultHarness.Result result =
+        assertNoViolations(FaultPlan.of("CLOCK_METERED@0=300", "CLIENT_BURST@500=60"));
     assertThat(result.emptyPolls()).isLessThan(MAX_EMPTY_POLLS);
   }
 
   @Example
-  void terminatedProcessAnswersBeforeItIsKilledThoughMachinesHang() throws Exception {
-    assertKept(FaultPlan.of("ALL_MACHINES_HANG@700=4000", "PROCESS_TERMINATED@800=0"));
+  void terminatedProcessAnswersBeforeSigkillWhileMachinesHang() throws Exception {
+    assertNoViolations(FaultPlan.of("ALL_MACHINES_HANG@700=4000", "PROCESS_TERMINATED@800=0"));
   }
 
   @Example
-  void systemCallsThatFailForAMomentDelayNothing() throws Exception {
-    FaultRig.Result result =
-        assertKept(
+  void transientSystemCallFailuresDelayNothing() throws Exception {
+    FaultHarness.Result result =
+        assertNoViolations(
             FaultPlan.of(
                 "CONNECT_FAILS@300=4",
                 "MACHINE_HOP_RESET@310=0",
@@ -54,13 +59,13 @@
                 "CONNECT_FAILS@2000=5",
                 "MACHINE_HOP_RESET@2010=0",
                 "MACHINE_HOP_RESET@2020=0"));
-    assertThat(result.declined()).isZero();
+    assertThat(result.rejected()).isZero();
   }
 
-  /** VMs end, and are cut with their machine, before the answers to their requests have come. */
+  /** VMs complete, or are ended with their machine, before the answers to their requests arrive. */
   @Example
-  void endThatOvertakesALateAnswerIsToldWhileMachinesAreReplaced() throws Exception {
-    assertKept(
+  void endBeforeDelayedAnswerIsNotifiedWhileMachinesAreReplaced() throws Exception {
+    assertNoViolations(
         FaultPlan.of(
             "MACHINE_ANSWERS_LATE@100=700",
             "MACHINE_ANSWERS_LATE@110=700",
@@ -69,10 +74,13 @@
             "MACHINES_REPLACED@1500=400"));
   }
 
-  /** Answers are lost, crossed by withdrawals or come elsewhere: what runs of it is released. */
+  /**
+   * A VM that runs is released if its answer is lost, crosses a withdrawal or arrives on another
+   * connection.
+   */
   @Example
-  void vmsThatNobodyOwnsAreReleased() throws Exception {
-    assertKept(
+  void unownedVmsAreReleased() throws Exception {
+    assertNoViolations(
         FaultPlan.of(
             "MACHINE_ANSWERS_LOST@300=12",
             "CLIENTS_GIVE_UP@600=60",
@@ -86,10 +94,10 @@
 
   @Example
   void drawnPlansAreKept() throws Exception {
-    List<FaultRig.Result> broken = FaultCampaign.play(FIRST_SEED, SEEDS);
-    for (FaultRig.Result result : broken) {
-      System.out.println("broken: " + result.plan() + " " + result.violations());
+    List<FaultHarness.Result> failed = FaultCampaign.runPlans(FIRST_SEED, SEEDS);
+    for (FaultHarness.Result result : failed) {
+      System.out.println("failed: " + result.plan() + " " + result.violations());
     }
-    assertThat(broken).as(() -> describe(broken.get(0))).isEmpty();
+    assertThat(failed).as(() -> describe(failed.get(0))).isEmpty();
   }
 }
--- a/src/test/java/fordridge/faults/ListeningSocket.java
+++ b/src/test/java/fordridge/faults/ListeningSocket.java
@@ -6,18 +6,20 @@
 import java.net.ServerSocket;
 import java.util.concurrent.locks.LockSupport;
 
-/** Opens the listening socket of an emulated peer, also where another one has listened before. */
+/**
+ * Opens the listening socket of a fake peer, also at an address that another peer has just closed.
+ */
 final class ListeningSocket {
-  /** A socket that is closed while a thread accepts on it is given back a moment later. */
-  private static final long BIND_MILLIS = 2000;
+  /** The address of a socket that is closed during a blocked accept is freed a little later. */
+  private static final long BIND_TIMEOUT_MILLIS = 2000;
 
-  private static final long RETRY_NANOS = 2_000_000;
+  private static final long BIND_RETRY_NANOS = 2_000_000;
 
   private ListeningSocket() {}
 
-  /** Listens at that address; any port of it if that is zero. */
+  /** Listens at that address, or at any port if its port is zero. */
   static ServerSocket open(InetSocketAddress address, int backlog) throws IOException {
-    long until = System.nanoTime() + BIND_MILLIS * 1_000_000;
+    long until = System.nanoTime() + BIND_TIMEOUT_MILLIS * 1_000_000;
     while (true) {
       ServerSocket server = new ServerSocket();
       try {
@@ -29,7 +31,7 @@
         if (System.nanoTime() > until) {
           throw e;
         }
-        LockSupport.parkNanos(RETRY_NANOS);
+        LockSupport.parkNanos(BIND_RETRY_NANOS);
       }
     }
   }
--- a/src/test/java/fordridge/faults/MachineFleet.java
+++ b/src/test/java/fordridge/faults/MachineFleet.java
@@ -10,32 +10,35 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** The emulated machines of a rig: which are live, how they come and go, and what the list says. */
+/**
+ * The fake machines of a harness: adds, drains, replaces and kills them, and publishes the changes
+ * in the machine list.
+ */
 final class MachineFleet {
   private static final int MACHINES_AT_START = 6;
 
-  /** Fewer live machines than this are left alone. */
+  /** Machines are drained or killed only while at least this many are live. */
   private static final int MIN_LIVE_MACHINES = 3;
 
   /** Every third machine is of the kind that the limited class does not run on. */
   private static final int PLAIN_KIND_EVERY = 3;
 
-  private static final int MACHINE_ROOM = 40;
+  private static final int MACHINE_CAPACITY = 40;
 
-  /** Between the words on a machine's VMs and its end. */
-  private static final long DEATH_AFTER_CUT_MILLIS = 80;
+  /** The delay between the ends of a machine's VMs and its own death. */
+  private static final long DEATH_DELAY_MILLIS = 80;
 
-  /** Told at the latest after the list's server fell silent. */
-  private static final long SILENT_LIST_TOLD_MILLIS = 4000;
+  /** When a drain is known at the latest, if the server of the list has stopped sending. */
+  private static final long SILENT_LIST_DELAY_MILLIS = 4000;
 
   private final InetAddress address;
   private final ScheduledExecutorService timers;
-  private final ObligationLedger ledger;
-  private final PlacementLedger placements;
+  private final ProtocolChecker checker;
+  private final PlacementChecker placementChecker;
   private final long seed;
   private final SplittableRandom random;
-  private final List<EmulatedMachine> machines = new ArrayList<>();
-  private final List<EmulatedMachine> liveMachines = new ArrayList<>();
+  private final List<FakeMachine> machines = new ArrayList<>();
+  private final List<FakeMachine> liveMachines = new ArrayList<>();
   private MachineListServer machineList;
   private long listSilentUntil;
   private int machineNumber;
@@ -43,114 +46,122 @@
   MachineFleet(
       InetAddress address,
       ScheduledExecutorService timers,
-      ObligationLedger ledger,
-      PlacementLedger placements,
+      ProtocolChecker checker,
+      PlacementChecker placementChecker,
       long seed)
       throws IOException {
     this.address = address;
     this.timers = timers;
-    this.ledger = ledger;
-    this.placements = placements;
+    this.checker = checker;
+    this.placementChecker = placementChecker;
     this.seed = seed;
     random = new SplittableRandom(seed);
     for (int i = 0; i < MACHINES_AT_START; i++) {
       boolean isPlain = i % PLAIN_KIND_EVERY == PLAIN_KIND_EVERY - 1;
       add(
-          isPlain ? RigConfiguration.PLAIN_KIND : PlacementLedger.LIMITED_CLASS_KIND,
+          isPlain ? HarnessConfiguration.PLAIN_KIND : PlacementChecker.LIMITED_CLASS_KIND,
           new InetSocketAddress(address, 0));
     }
   }
 
-  /** Where changes are listed; to be called once, before any. */
-  void listedBy(MachineListServer server) {
+  /** Sets the machine list that changes are published in; called once, before any change. */
+  void setMachineList(MachineListServer server) {
     machineList = server;
   }
 
-  /** All that there ever were. */
-  List<EmulatedMachine> all() {
+  /** All machines of this fleet, dead ones included. */
+  List<FakeMachine> allMachines() {
     return List.copyOf(machines);
   }
 
-  List<EmulatedMachine> live() {
+  List<FakeMachine> liveMachines() {
     return List.copyOf(liveMachines);
   }
 
-  EmulatedMachine any() {
+  FakeMachine randomMachine() {
     return liveMachines.get(random.nextInt(liveMachines.size()));
   }
 
-  /** The server of the list says nothing for this long. */
-  void listSilentFor(long millis) {
-    listSilentUntil = ledger.now() + millis;
+  /** The server of the machine list sends nothing for this time. */
+  void machineListSilentFor(long millis) {
+    listSilentUntil = checker.now() + millis;
   }
 
-  private EmulatedMachine add(String kind, InetSocketAddress at) throws IOException {
+  private FakeMachine add(String kind, InetSocketAddress at) throws IOException {
     String id = "s-" + machineNumber++;
-    EmulatedMachine machine =
-        new EmulatedMachine(
-            id, kind, at, MACHINE_ROOM, timers, ledger, placements, seed + machineNumber);
+    FakeMachine machine =
+        new FakeMachine(
+            id,
+            kind,
+            at,
+            MACHINE_CAPACITY,
+            timers,
+            checker,
+            placementChecker,
+            seed + machineNumber);
     machines.add(machine);
     liveMachines.add(machine);
     return machine;
   }
 
   private void addAndList(String kind, InetSocketAddress at) throws IOException {
-    machineList.list(add(kind, at), "SERVING", System.currentTimeMillis());
+    machineList.publish(add(kind, at), "SERVING", System.currentTimeMillis());
   }
 
-  /** The machine that drains from now on, with another in its place; empty if few are left. */
+  /** Drains a machine and adds another; empty if too few are live. */
   @SuppressWarnings("FutureReturnValueIgnored") // Nothing waits for it.
-  Optional<EmulatedMachine> drain() throws IOException {
+  Optional<FakeMachine> drain() throws IOException {
     if (liveMachines.size() < MIN_LIVE_MACHINES) {
       return Optional.empty();
     }
-    EmulatedMachine drained = any();
+    FakeMachine drained = randomMachine();
     liveMachines.remove(drained);
-    machineList.list(drained, "DRAINING", 0);
-    long toldIn = ledger.now() < listSilentUntil ? SILENT_LIST_TOLD_MILLIS : 0;
-    timers.schedule(() -> ledger.machineDrains(drained.id()), toldIn, TimeUnit.MILLISECONDS);
+    machineList.publish(drained, "DRAINING", 0);
+    long announcedAfterMillis = checker.now() < listSilentUntil ? SILENT_LIST_DELAY_MILLIS : 0;
+    timers.schedule(
+        () -> checker.drainAnnounced(drained.id()), announcedAfterMillis, TimeUnit.MILLISECONDS);
     addAndList(drained.kind(), new InetSocketAddress(address, 0));
     return Optional.of(drained);
   }
 
-  /** A machine drains, cuts its VMs after that time, and is gone. */
+  /** Drains a machine, which ends its VMs after that time, dies and is listed as deleted. */
   @SuppressWarnings("FutureReturnValueIgnored") // Nothing waits for it.
-  void replace(int cutAfterMillis) throws IOException {
-    Optional<EmulatedMachine> replaced = drain();
+  void replace(int endVmsAfterMillis) throws IOException {
+    Optional<FakeMachine> replaced = drain();
     if (replaced.isPresent()) {
-      EmulatedMachine machine = replaced.get();
-      timers.schedule(machine::cutVms, cutAfterMillis, TimeUnit.MILLISECONDS);
+      FakeMachine machine = replaced.get();
+      timers.schedule(machine::endAllVms, endVmsAfterMillis, TimeUnit.MILLISECONDS);
       timers.schedule(
           () -> {
             machine.die();
-            machineList.list(machine, "DELETED", 0);
+            machineList.publish(machine, "DELETED", 0);
             return null;
           },
-          cutAfterMillis + DEATH_AFTER_CUT_MILLIS,
+          endVmsAfterMillis + DEATH_DELAY_MILLIS,
           TimeUnit.MILLISECONDS);
     }
   }
 
-  /** A machine dies, and is listed as gone after that time. */
+  /** A machine dies, and is listed as deleted after that time. */
   void kill(int listedAfterMillis) throws IOException {
     if (liveMachines.size() >= MIN_LIVE_MACHINES) {
-      die(any(), listedAfterMillis);
+      die(randomMachine(), listedAfterMillis);
     }
   }
 
   /** As {@link #kill}, and another machine is listed at its address at once. */
-  void takeAddress(int listedAfterMillis) throws IOException {
-    EmulatedMachine former = any();
-    InetSocketAddress at = former.address();
-    die(former, listedAfterMillis);
-    addAndList(former.kind(), at);
+  void killAndReuseAddress(int listedAfterMillis) throws IOException {
+    FakeMachine deadMachine = randomMachine();
+    InetSocketAddress at = deadMachine.address();
+    die(deadMachine, listedAfterMillis);
+    addAndList(deadMachine.kind(), at);
   }
 
   @SuppressWarnings("FutureReturnValueIgnored") // Nothing waits for it.
-  private void die(EmulatedMachine machine, int listedAfterMillis) throws IOException {
+  private void die(FakeMachine machine, int listedAfterMillis) throws IOException {
     liveMachines.remove(machine);
     machine.die();
     timers.schedule(
-        () -> machineList.list(machine, "DELETED", 0), listedAfterMillis, TimeUnit.MILLISECONDS);
+        () -> machineList.publish(machine, "DELETED", 0), listedAfterMillis, TimeUnit.MILLISECONDS);
   }
 }
--- a/src/test/java/fordridge/faults/MachineListServer.java
+++ b/src/test/java/fordridge/faults/MachineListServer.java
@@ -10,30 +10,34 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** The server of the machine list: numbered events, and its position every second. */
+/**
+ * A fake server of the machine list, which sends numbered events, and its position every second.
+ */
 final class MachineListServer implements AutoCloseable {
   private final ServerSocket server;
   private final List<String> events = new ArrayList<>();
-  private final Map<LineConnection, Integer> watchers = new LinkedHashMap<>();
+  private final Map<PeerConnection, Integer> watchers = new LinkedHashMap<>();
   private final Map<String, String> entries = new LinkedHashMap<>();
   private long silentUntilNanos;
 
   @SuppressWarnings("FutureReturnValueIgnored") // Nothing waits for it.
   MachineListServer(
-      InetAddress address, ScheduledExecutorService timers, List<? extends ListedMachine> machines)
+      InetAddress address,
+      ScheduledExecutorService timers,
+      List<? extends MachineEndpoint> machines)
       throws IOException {
     server = new ServerSocket(0, 64, address);
-    for (ListedMachine machine : machines) {
+    for (MachineEndpoint machine : machines) {
       entries.put(machine.id(), entry(machine, "SERVING", 0));
     }
     events.add(event(1, true, entries.values()));
     Thread acceptor = new Thread(this::accept, "machine-list");
     acceptor.setDaemon(true);
     acceptor.start();
-    timers.scheduleAtFixedRate(this::tellPosition, 1, 1, TimeUnit.SECONDS);
+    timers.scheduleAtFixedRate(this::sendPosition, 1, 1, TimeUnit.SECONDS);
   }
 
-  private static String entry(ListedMachine machine, String phase, long upSinceMillis) {
+  private static String entry(MachineEndpoint machine, String phase, long upSinceMillis) {
     return "{\"id\":\""
         + machine.id()
         + "\",\"host_port\":\""
@@ -63,38 +67,40 @@
     return server.getLocalPort();
   }
 
-  /** The events so far, as a configuration names them. */
-  synchronized String known() {
-    String whole = event(events.size(), true, entries.values());
-    return "{\"pos\":" + events.size() + ",\"entries\":[" + whole + "]}";
+  /** A snapshot of the list, in the format of the configuration's {@code known}. */
+  synchronized String knownEvents() {
+    String snapshot = event(events.size(), true, entries.values());
+    return "{\"pos\":" + events.size() + ",\"entries\":[" + snapshot + "]}";
   }
 
   private void accept() {
     try {
       while (true) {
         var socket = server.accept();
-        LineConnection[] self = new LineConnection[1];
+        PeerConnection[] self = new PeerConnection[1];
         synchronized (this) {
-          self[0] = new LineConnection(socket, line -> watch(self, line), () -> forget(self[0]));
+          self[0] =
+              new PeerConnection(
+                  socket, line -> lineReceived(self, line), () -> removeWatcher(self[0]));
         }
       }
     } catch (IOException e) {
-      // Closed.
+      // The listening socket was closed.
     }
   }
 
-  private synchronized void forget(LineConnection connection) {
+  private synchronized void removeWatcher(PeerConnection connection) {
     watchers.remove(connection);
   }
 
-  private synchronized void watch(LineConnection[] self, String line) {
+  private synchronized void lineReceived(PeerConnection[] self, String line) {
     if (line.startsWith("tail ")) {
       watchers.put(self[0], Integer.parseInt(line.substring(5).trim()));
-      tell(self[0]);
+      sendNewEvents(self[0]);
     }
   }
 
-  private void tell(LineConnection watcher) {
+  private void sendNewEvents(PeerConnection watcher) {
     if (System.nanoTime() < silentUntilNanos) {
       return;
     }
@@ -105,17 +111,20 @@
     watchers.put(watcher, events.size());
   }
 
-  private synchronized void tellPosition() {
-    for (LineConnection watcher : List.copyOf(watchers.keySet())) {
-      tell(watcher);
+  private synchronized void sendPosition() {
+    for (PeerConnection watcher : List.copyOf(watchers.keySet())) {
+      sendNewEvents(watcher);
       if (System.nanoTime() >= silentUntilNanos) {
         watcher.send(Integer.toString(events.size()));
       }
     }
   }
 
-  /** Lists the machine in this phase; {@code upSinceMillis} is the Unix time of a late start. */
-  synchronized void list(ListedMachine machine, String phase, long upSinceMillis) {
+  /**
+   * Publishes the machine in this phase; {@code upSinceMillis} is the Unix time of its start, or
+   * zero.
+   */
+  synchronized void publish(MachineEndpoint machine, String phase, long upSinceMillis) {
     String entry = entry(machine, phase, upSinceMillis);
     if (phase.equals("DELETED")) {
       entries.remove(machine.id());
@@ -123,16 +132,16 @@
       entries.put(machine.id(), entry);
     }
     events.add(event(events.size() + 1, false, List.of(entry)));
-    List.copyOf(watchers.keySet()).forEach(this::tell);
+    List.copyOf(watchers.keySet()).forEach(this::sendNewEvents);
   }
 
-  /** Stays open and says nothing for this long. */
-  synchronized void fallSilent(long millis) {
+  /** Sends nothing for this time; connections stay open. */
+  synchronized void stopSending(long millis) {
     silentUntilNanos = System.nanoTime() + millis * 1_000_000;
   }
 
   synchronized void resetConnections() {
-    List.copyOf(watchers.keySet()).forEach(LineConnection::reset);
+    List.copyOf(watchers.keySet()).forEach(PeerConnection::reset);
   }
 
   @Override
--- a/src/test/java/fordridge/faults/Message.java
+++ b/src/test/java/fordridge/faults/Message.java
@@ -3,7 +3,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One line of the protocol, read independently of the server's codec. */
+/** One line of the protocol, parsed and written without the server's codec. */
 record Message(String line) {
   private static final Pattern TYPE = Pattern.compile("\"t\":\"(\\w+)\"");
   private static final Pattern ID = Pattern.compile("\"ref\":\"([0-9a-f]{16})\"");
@@ -11,7 +11,7 @@
   private static final Pattern TIME_LEFT = Pattern.compile("\"left\":\"(\\d+)\"");
   private static final Pattern DESCRIPTION = Pattern.compile("\"d\":\"([^\"]*)\"");
 
-  /** The set-up of a VM, on its way to a machine or scheduler. */
+  /** A placement request, offer or handover of a VM, to a scheduler or machine. */
   static final String REQUEST = "new";
 
   static final String ACCEPTED = "up";
@@ -29,7 +29,7 @@
   static final int CAUSE_FAILED = 47;
   static final int CAUSE_NEVER_SENT = 102;
 
-  /** A machine's report on a VM that runs. */
+  /** A machine's report on a running VM. */
   static final String REPORT = "tell";
 
   private static String group(Pattern pattern, String text) {
@@ -49,7 +49,7 @@
     return group(DESCRIPTION, line);
   }
 
-  /** The cause, or -1 where there is none. */
+  /** The cause, or -1 if there is none. */
   int cause() {
     String cause = group(CAUSE, line);
     return cause.isEmpty() ? -1 : Integer.parseInt(cause);
@@ -64,7 +64,7 @@
     return "{\"t\":\"" + type + "\",\"ref\":\"" + id + "\",\"f\":{},\"c\":" + cause + "}";
   }
 
-  /** The end of a VM, with the machine's note on why. */
+  /** The end of a VM, with the machine's note on its reason. */
   static String ended(String id, int cause, String note) {
     return "{\"t\":\"down\",\"ref\":\""
         + id
@@ -83,13 +83,13 @@
     return "{\"t\":\"up\",\"ref\":\"" + id + "\",\"f\":{},\"d\":\"" + description + "\"}";
   }
 
-  static String request(String id, String priorityClass, long leftMillis, String extras) {
+  static String request(String id, String priorityClass, long timeLeftMillis, String extras) {
     return "{\"t\":\"new\",\"ref\":\""
         + id
         + "\",\"f\":{\"class\":\""
         + priorityClass
         + "\",\"left\":\""
-        + leftMillis
+        + timeLeftMillis
         + "\",\"tenant\":\"acme\",\"key\":\""
         + id
         + "\",\"extras\":\""
--- a/src/test/java/fordridge/faults/LineConnection.java
+++ b/src/test/java/fordridge/faults/PeerConnection.java
@@ -8,15 +8,16 @@
 import java.util.function.Consumer;
 
 /**
- * One connection of an emulated peer: lines in on a thread of its own, lines out from any thread.
+ * One connection of a fake peer, which reads lines on its own thread and writes lines from any
+ * thread.
  */
-final class LineConnection {
+final class PeerConnection {
   private final Socket socket;
   private volatile boolean isOpen = true;
   private volatile long readsStoppedUntilNanos;
 
-  /** Called with each line, and once with the end of the connection. */
-  LineConnection(Socket socket, Consumer<String> onLine, Runnable onEnd) throws IOException {
+  /** Starts to read: calls {@code onLine} with each line, and {@code onEnd} once at the end. */
+  PeerConnection(Socket socket, Consumer<String> onLine, Runnable onEnd) throws IOException {
     this.socket = socket;
     socket.setTcpNoDelay(true);
     Thread reader = new Thread(() -> read(onLine, onEnd), "peer-reader");
@@ -29,24 +30,24 @@
         new BufferedReader(
             new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))) {
       for (String line = in.readLine(); line != null; line = in.readLine()) {
-        awaitReads();
+        awaitReadsResumed();
         onLine.accept(line);
       }
     } catch (IOException | InterruptedException e) {
-      // Broken: the same as its end.
+      // A lost connection is handled as a closed one.
     }
     isOpen = false;
     onEnd.run();
   }
 
-  private void awaitReads() throws InterruptedException {
+  private void awaitReadsResumed() throws InterruptedException {
     long millis = (readsStoppedUntilNanos - System.nanoTime()) / 1_000_000;
     if (millis > 0) {
       Thread.sleep(millis);
     }
   }
 
-  /** Reads nothing more for this long. */
+  /** Reads nothing for this time, starting with the next line. */
   void stopReading(long millis) {
     readsStoppedUntilNanos = System.nanoTime() + millis * 1_000_000;
   }
@@ -55,7 +56,7 @@
     return isOpen;
   }
 
-  /** Writes a line; false if the connection is broken. */
+  /** Writes a line; false if the connection is closed or lost. */
   synchronized boolean send(String line) {
     if (!isOpen) {
       return false;
@@ -68,7 +69,7 @@
     }
   }
 
-  /** Writes raw text, without an end of line. */
+  /** Writes raw text without a line terminator. */
   synchronized void sendRaw(String text) {
     try {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
@@ -82,16 +83,16 @@
     try {
       socket.close();
     } catch (IOException e) {
-      // Nothing is left to be closed.
+      // Already closed.
     }
   }
 
-  /** Closes with a reset in place of an orderly end. */
+  /** Closes with a TCP reset instead of a FIN. */
   void reset() {
     try {
       socket.setSoLinger(true, 0);
     } catch (IOException e) {
-      // Closed before.
+      // Already closed.
     }
     close();
   }
--- a/src/test/java/fordridge/faults/PlacementLedger.java
+++ b/src/test/java/fordridge/faults/PlacementChecker.java
@@ -10,30 +10,31 @@
 import java.util.function.LongSupplier;
 
 /**
- * Where requests may go, from the bytes that peers sent and received, by the protocol page alone:
- * the kind of machine, and how many VMs of a service one scheduler may have on a machine. A VM
- * counts from the request's arrival at the machine, or 0.2 s after it was handed over, until the
- * machine has ended it or the scheduler has given it up. Thread-safe; times are in milliseconds.
+ * Checks where requests are sent: only to the kind of machine of their class, and within the number
+ * of VMs of a service that one scheduler may have on a machine. It knows only what the peers sent
+ * and received, and the rules of the protocol's documentation. A VM counts from the request's
+ * arrival at the machine, or from 0.2 s after its handover, until the machine has ended it or the
+ * scheduler has given it up. Thread-safe; times are in milliseconds.
  */
-final class PlacementLedger {
-  static final int MOST_PER_MACHINE = 2;
+final class PlacementChecker {
+  static final int MAX_VMS_PER_MACHINE = 2;
   static final String LIMITED_CLASS_KIND = "big";
 
-  /** The protocol grants 0.2 s; the rest is for a busy test machine. */
-  private static final long HANDOVER_GRACE = 200 + 150;
+  /** The protocol allows 0.2 s; the rest is slack for a busy test host. */
+  private static final long HANDOVER_GRACE_MILLIS = 200 + 150;
 
-  /** A withdrawal may overtake, on another connection, what it made room for. */
-  private static final long REORDERING = 100;
+  /** A request may arrive, on another connection, before the withdrawal that freed its place. */
+  private static final long REORDERING_MILLIS = 100;
 
   /**
-   * Two requests on two connections may be read in the other order than that in which they were
-   * sent. One of a class without a limit may be sent behind a limited one, and not before it: so it
-   * is not held against a limited one that is read within this time of it. Of two limited ones the
-   * second breaks the limit in either order.
+   * Two requests on two connections may be read in another order than they were sent in. A request
+   * of a class without a limit may be sent after a limited one that would break the limit behind
+   * it. So it is not counted against a limited request that is read within this time after it. Of
+   * two limited requests the second breaks the limit in either order.
    */
-  private static final long SEND_ORDER_UNKNOWN = 500;
+  private static final long SEND_ORDER_UNKNOWN_MILLIS = 500;
 
-  /** A VM that counts at a machine for a while. */
+  /** A VM that counts at a machine during a span of time. */
   private static final class CountedVm {
     final String id;
     final String machine;
@@ -49,8 +50,8 @@
     }
 
     boolean countsAt(long at) {
-      long latest = isUnlimitedAttempt ? at - SEND_ORDER_UNKNOWN : at;
-      return from < latest && until > at + REORDERING;
+      long latest = isUnlimitedAttempt ? at - SEND_ORDER_UNKNOWN_MILLIS : at;
+      return from < latest && until > at + REORDERING_MILLIS;
     }
   }
 
@@ -63,12 +64,12 @@
   private final Map<String, Request> requests = new HashMap<>();
   private final Map<Long, List<CountedVm>> countedByService = new HashMap<>();
 
-  /** VMs that their machine has ended; they may be handed over all the same. */
-  private final Set<String> ended = new HashSet<>();
+  /** VMs that their machine has ended; a handover of them may still follow. */
+  private final Set<String> endedVms = new HashSet<>();
 
   private final List<Arrival> arrivals = new ArrayList<>();
 
-  PlacementLedger(LongSupplier clock) {
+  PlacementChecker(LongSupplier clock) {
     this.clock = clock;
   }
 
@@ -76,19 +77,19 @@
     kinds.put(machine, kind);
   }
 
-  /** A VM is requested, or was before; {@code isLimited}: of the class with a limit and a kind. */
+  /** Adds a requested or existing VM; {@code isLimited}: its class has a limit and a kind. */
   synchronized void requested(String id, long service, boolean isLimited) {
     requests.put(id, new Request(service, isLimited));
   }
 
   /** The last byte of a handover was written to the scheduler. */
   synchronized void handedOver(String id, String machine) {
-    if (!ended.contains(id)) {
-      count(id, machine, clock.getAsLong() + HANDOVER_GRACE, false);
+    if (!endedVms.contains(id)) {
+      count(id, machine, clock.getAsLong() + HANDOVER_GRACE_MILLIS, false);
     }
   }
 
-  /** A request reached the machine whole; its last byte was read at that time. */
+  /** The machine received a complete request, and read its last byte at {@code at}. */
   synchronized void attemptReceived(String id, String machine, long at) {
     arrivals.add(new Arrival(id, machine, at));
     count(id, machine, at, true);
@@ -103,13 +104,13 @@
     }
   }
 
-  /** The machine has ended the VM or request, or has heard that it is given up. */
+  /** The machine has ended the VM or request, or has received its withdrawal. */
   synchronized void ended(String id, String machine) {
     Request request = requests.get(id);
     if (request == null) {
       return;
     }
-    ended.add(id);
+    endedVms.add(id);
     for (CountedVm vm : countedByService.getOrDefault(request.service, List.of())) {
       if (vm.id.equals(id) && vm.machine.equals(machine)) {
         vm.until = Math.min(vm.until, clock.getAsLong());
@@ -117,13 +118,13 @@
     }
   }
 
-  /** The scheduler's process has ended: a new one has what is handed over to it. */
+  /** The scheduler's process has ended: a new one knows only the VMs that are handed over to it. */
   synchronized void schedulerEnded() {
     long at = clock.getAsLong();
     countedByService.values().forEach(vms -> vms.forEach(vm -> vm.until = Math.min(vm.until, at)));
   }
 
-  /** All that was broken so far. */
+  /** All violations so far. */
   synchronized List<String> violations() {
     List<String> violations = new ArrayList<>();
     for (Arrival arrival : arrivals) {
@@ -135,8 +136,8 @@
         violations.add(describe(arrival) + ", which is of kind " + kinds.get(arrival.machine));
       }
       Set<String> others = othersAt(arrival, request.service);
-      if (others.size() >= MOST_PER_MACHINE) {
-        violations.add(describe(arrival) + ", where " + others + " of its service count");
+      if (others.size() >= MAX_VMS_PER_MACHINE) {
+        violations.add(describe(arrival) + ", which already has " + others + " of its service");
       }
     }
     return violations;
--- a/src/test/java/fordridge/faults/ScriptedClient.java
+++ b/src/test/java/fordridge/faults/ScriptedClient.java
@@ -12,39 +12,39 @@
 import org.awaitility.Awaitility;
 
 /**
- * One client's connection that says what a test has it say, and acknowledges the ends of its own
- * VMs unless told not to.
+ * One client's connection that sends what a test tells it to, and acknowledges the ends of its own
+ * VMs until {@link #stopResponding} is called.
  */
 final class ScriptedClient implements AutoCloseable {
-  private final LineConnection connection;
-  private final List<String> words = new ArrayList<>();
+  private final PeerConnection connection;
+  private final List<String> messages = new ArrayList<>();
   private final Map<String, Integer> causes = new HashMap<>();
   private final Set<String> ownVms = new HashSet<>();
-  private volatile boolean acknowledges = true;
+  private volatile boolean acknowledgesEnds = true;
 
   ScriptedClient(InetAddress address, int port) throws IOException {
     connection =
-        new LineConnection(
-            new Socket(address, port), line -> received(new Message(line)), () -> {});
+        new PeerConnection(
+            new Socket(address, port), line -> messageReceived(new Message(line)), () -> {});
   }
 
-  private synchronized void received(Message message) {
-    boolean isUp = message.type().equals(Message.ACCEPTED);
-    boolean isDown = message.type().equals(Message.ENDED);
-    if (isUp || isDown) {
-      words.add(message.id() + " " + message.type());
+  private synchronized void messageReceived(Message message) {
+    boolean isAcceptance = message.type().equals(Message.ACCEPTED);
+    boolean isEnd = message.type().equals(Message.ENDED);
+    if (isAcceptance || isEnd) {
+      messages.add(message.id() + " " + message.type());
     }
-    if (isDown) {
+    if (isEnd) {
       causes.putIfAbsent(message.id(), message.cause());
-      if (acknowledges && ownVms.contains(message.id())) {
+      if (acknowledgesEnds && ownVms.contains(message.id())) {
         acknowledge(message.id());
       }
     }
   }
 
-  /** From now on it is as if nothing were read: no notice counts, and none is acknowledged. */
-  void fallSilent() {
-    acknowledges = false;
+  /** From now on no message is read and no notice acknowledged. */
+  void stopResponding() {
+    acknowledgesEnds = false;
     connection.stopReading(Long.MAX_VALUE / 2_000_000);
   }
 
@@ -52,19 +52,19 @@
     connection.send(Message.of(Message.ACKNOWLEDGED, vm, 0));
   }
 
-  /** A VM of the same client that another of its connections has brought. */
-  synchronized void own(String vm) {
+  /** Adds a VM of the same client that was requested on another connection. */
+  synchronized void addOwnVm(String vm) {
     ownVms.add(vm);
   }
 
-  void request(String vm, String priorityClass, long leftMillis, int service) {
-    own(vm);
-    connection.send(Message.request(vm, priorityClass, leftMillis, extras(service)));
+  void request(String vm, String priorityClass, long timeLeftMillis, int service) {
+    addOwnVm(vm);
+    connection.send(Message.request(vm, priorityClass, timeLeftMillis, extras(service)));
   }
 
-  /** Hands over a VM that runs on the machine. */
+  /** Hands over a VM that is running on the machine. */
   void handOver(String vm, String priorityClass, String machine, int service) {
-    own(vm);
+    addOwnVm(vm);
     connection.send(Message.request(vm, priorityClass, 0, extras(service) + ";at:" + machine));
   }
 
@@ -77,25 +77,28 @@
     connection.send(Message.of(Message.ENDED, vm, Message.CAUSE_WITHDRAWN));
   }
 
-  /** What was said of the VM: {@code up}, {@code down}, in the order in which it came. */
-  synchronized List<String> wordsOn(String vm) {
-    return words.stream()
+  /**
+   * The types of the received messages on the VM, {@code up} or {@code down}, in order of arrival.
+   */
+  synchronized List<String> messageTypes(String vm) {
+    return messages.stream()
         .filter(each -> each.startsWith(vm))
         .map(each -> each.substring(vm.length() + 1))
         .toList();
   }
 
-  boolean isTold(String vm) {
-    return wordsOn(vm).contains(Message.ENDED);
+  boolean hasEndNotice(String vm) {
+    return messageTypes(vm).contains(Message.ENDED);
   }
 
-  /** The cause of the first {@code down} on the VM, which has come. */
+  /** The cause of the first {@code down} on the VM, which must have arrived. */
   synchronized int causeOfEnd(String vm) {
     return causes.get(vm);
   }
 
   void awaitAccepted(String vm) {
-    Awaitility.await("acceptance of " + vm).until(() -> wordsOn(vm).contains(Message.ACCEPTED));
+    Awaitility.await("acceptance of " + vm)
+        .until(() -> messageTypes(vm).contains(Message.ACCEPTED));
   }
 
   @Override
--- a/src/test/java/fordridge/faults/ScriptedRig.java
+++ b/src/test/java/fordridge/faults/ScriptedHarness.java
@@ -11,33 +11,35 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 
-/** One real {@code serve} process between clients and machines that follow a test's script. */
-final class ScriptedRig implements AutoCloseable {
+/** One real {@code serve} process with clients and machines that follow a test's script. */
+final class ScriptedHarness implements AutoCloseable {
   private static final int LISTEN_PORT = 21_000;
   private static final long CONNECT_TIMEOUT_MILLIS = 250;
 
   private final InetAddress address;
   private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(1);
   private final MachineListServer machineList;
-  private final Path configuration = Files.createTempFile("scripted-rig", ".json");
+  private final Path configuration = Files.createTempFile("scripted-harness", ".json");
   private final List<ScriptedMachine> machines = new ArrayList<>();
   private final List<ScriptedClient> clients = new ArrayList<>();
-  private final List<ScriptedMachine> listed = new ArrayList<>();
+  private final List<ScriptedMachine> listedMachines = new ArrayList<>();
   private final ServeProcess process;
   private int machineNumber;
   private int vmNumber;
 
-  /** Starts the process. One such rig may run at a time, beside others. */
-  ScriptedRig() throws IOException, InterruptedException {
+  /**
+   * Starts the process. A JVM can run one such harness at a time, beside any {@link FaultHarness}.
+   */
+  ScriptedHarness() throws IOException, InterruptedException {
     byte part = (byte) (64 + ProcessHandle.current().pid() % 128);
     address = InetAddress.getByAddress(new byte[] {127, part, (byte) 200, 1});
     machineList = new MachineListServer(address, timers, List.of());
     String text =
-        new RigConfiguration(
+        new HarnessConfiguration(
                 address.getHostAddress(),
                 LISTEN_PORT,
                 machineList.port(),
-                machineList.known(),
+                machineList.knownEvents(),
                 CONNECT_TIMEOUT_MILLIS)
             .text();
     Files.writeString(configuration, text);
@@ -45,44 +47,44 @@
     process.awaitListening();
   }
 
-  /** A machine that is listed from now on. */
+  /** Adds a machine and lists it as serving. */
   ScriptedMachine addMachine() throws IOException {
     ScriptedMachine machine = new ScriptedMachine("m-" + machineNumber++, address);
     machines.add(machine);
-    listed.add(machine);
-    machineList.list(machine, "SERVING", 0);
+    listedMachines.add(machine);
+    machineList.publish(machine, "SERVING", 0);
     return machine;
   }
 
   /**
-   * The machine dies, and another one listens at its address; the list names that one and says
-   * nothing of the first.
+   * Kills the machine and lists another one at its address; the list publishes no change of the
+   * first one.
    */
-  ScriptedMachine replaceAtItsAddress(ScriptedMachine machine) throws IOException {
+  ScriptedMachine replaceAtSameAddress(ScriptedMachine machine) throws IOException {
     int port = machine.port();
     machine.die();
     ScriptedMachine successor = new ScriptedMachine("m-" + machineNumber++, address, port);
     machines.add(successor);
-    listed.add(successor);
-    machineList.list(successor, "SERVING", 0);
+    listedMachines.add(successor);
+    machineList.publish(successor, "SERVING", 0);
     return successor;
   }
 
-  /** The list says that the machine drains: nothing new is placed there. */
+  /** Lists the machine as draining: no new VM may be placed there. */
   void drain(ScriptedMachine machine) {
-    machineList.list(machine, "DRAINING", 0);
+    machineList.publish(machine, "DRAINING", 0);
   }
 
-  /** The list says that the machine is gone. */
+  /** Lists the machine as deleted, unless that was done before. */
   void removeMachine(ScriptedMachine machine) {
-    if (listed.remove(machine)) {
-      machineList.list(machine, "DELETED", 0);
+    if (listedMachines.remove(machine)) {
+      machineList.publish(machine, "DELETED", 0);
     }
   }
 
-  /** All machines of an earlier script are gone. */
+  /** Removes and kills all listed machines, so that the next test starts without any. */
   void removeMachines() throws IOException {
-    for (ScriptedMachine machine : List.copyOf(listed)) {
+    for (ScriptedMachine machine : List.copyOf(listedMachines)) {
       removeMachine(machine);
       machine.die();
     }
@@ -94,7 +96,7 @@
     return client;
   }
 
-  /** As {@link #connect}, for other threads of a test. */
+  /** As {@link #connect}, without a checked exception, for use in lambdas. */
   ScriptedClient connectUnchecked() {
     try {
       return connect();
@@ -103,7 +105,7 @@
     }
   }
 
-  /** An id that no VM had before. */
+  /** A VM id that was not used before. */
   synchronized String newVmId() {
     return String.format("%016x", 0xfa0000 + vmNumber++);
   }
--- a/src/test/java/fordridge/faults/ScriptedMachine.java
+++ b/src/test/java/fordridge/faults/ScriptedMachine.java
@@ -13,41 +13,44 @@
 import java.util.concurrent.TimeUnit;
 import org.awaitility.Awaitility;
 
-/** A machine on a real socket that says only what a test has it say, on the connection it names. */
-final class ScriptedMachine implements ListedMachine, AutoCloseable {
-  /** One connection from the scheduler, and what came on it. */
+/**
+ * A machine on a real socket that sends only what a test tells it to, on the connection it names.
+ * Health checks are answered.
+ */
+final class ScriptedMachine implements MachineEndpoint, AutoCloseable {
+  /** One connection from the scheduler, and the messages received on it. */
   final class Connection {
-    private LineConnection line;
+    private PeerConnection peer;
     private final List<Message> received = new ArrayList<>();
     private boolean answersHealthChecks = true;
 
     void send(String message) {
-      line.send(message);
+      peer.send(message);
     }
 
-    /** Sends a line that is no message. */
-    void sendUnreadable() {
-      line.send("{\"t\":\"up\",\"ref\"");
+    /** Sends a line that is not a valid message. */
+    void sendMalformed() {
+      peer.send("{\"t\":\"up\",\"ref\"");
     }
 
     void reset() {
-      line.reset();
+      peer.reset();
     }
 
     boolean isOpen() {
-      return line.isOpen();
+      return peer.isOpen();
     }
 
-    /** What comes from now on is never read: it is as if the machine had not got to it. */
+    /** Reads nothing more; the bytes stay in the socket. */
     void stopReading() {
-      line.stopReading(Long.MAX_VALUE / 2_000_000);
+      peer.stopReading(Long.MAX_VALUE / 2_000_000);
     }
 
     synchronized void stopAnsweringHealthChecks() {
       answersHealthChecks = false;
     }
 
-    /** How often it has brought that message on the VM. */
+    /** How often this type of message on the VM was received on this connection. */
     synchronized int count(String type, String vm) {
       return (int)
           received.stream()
@@ -59,13 +62,13 @@
       return received.stream().anyMatch(each -> each.type().equals(type) && each.id().equals(vm));
     }
 
-    private synchronized void receive(Message message) {
+    private synchronized void messageReceived(Message message) {
       received.add(message);
       if (message.type().equals(Message.HEALTH_CHECK) && answersHealthChecks) {
         send(Message.of(Message.HEALTHY, message.id(), 1));
       }
       if (message.type().equals(Message.REQUEST) && answerDelayMillis > 0) {
-        later(() -> runToItsEnd(this, message.id()));
+        scheduleAnswer(() -> acceptAndEnd(this, message.id()));
       }
     }
   }
@@ -73,17 +76,17 @@
   private final String id;
   private final ServerSocket server;
   private final List<Connection> connections = new ArrayList<>();
-  private final List<String> sentOnNextConnection = new ArrayList<>();
+  private final List<String> queuedMessages = new ArrayList<>();
   private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(1);
 
-  /** Zero if it answers by the test's script alone. */
+  /** The delay of automatic answers; zero if only the test answers. */
   private volatile long answerDelayMillis;
 
   ScriptedMachine(String id, InetAddress address) throws IOException {
     this(id, address, 0);
   }
 
-  /** A machine that listens at that port, or at any if it is zero. */
+  /** A machine that listens at that port, or at any port if it is zero. */
   ScriptedMachine(String id, InetAddress address, int port) throws IOException {
     this.id = id;
     server = ListeningSocket.open(new InetSocketAddress(address, port), 256);
@@ -103,7 +106,7 @@
 
   @Override
   public String kind() {
-    return PlacementLedger.LIMITED_CLASS_KIND;
+    return PlacementChecker.LIMITED_CLASS_KIND;
   }
 
   @Override
@@ -117,21 +120,22 @@
         Socket socket = server.accept();
         Connection connection = new Connection();
         synchronized (connection) {
-          connection.line =
-              new LineConnection(socket, line -> connection.receive(new Message(line)), () -> {});
+          connection.peer =
+              new PeerConnection(
+                  socket, line -> connection.messageReceived(new Message(line)), () -> {});
         }
         synchronized (this) {
           connections.add(connection);
-          sentOnNextConnection.forEach(connection::send);
-          sentOnNextConnection.clear();
+          queuedMessages.forEach(connection::send);
+          queuedMessages.clear();
         }
       }
     } catch (IOException e) {
-      // Closed.
+      // The machine was closed.
     }
   }
 
-  /** The connections so far, the oldest first. */
+  /** All connections so far, the oldest first. */
   synchronized List<Connection> connections() {
     return List.copyOf(connections);
   }
@@ -141,17 +145,17 @@
     return connections().stream().filter(Connection::isOpen).toList();
   }
 
-  /** Whether any connection has brought that message on the VM. */
+  /** Whether this type of message on the VM was received on any connection. */
   boolean hasReceived(String type, String vm) {
     return connections().stream().anyMatch(connection -> connection.hasReceived(type, vm));
   }
 
-  /** How often all connections together have brought that message on the VM. */
+  /** How often this type of message on the VM was received on all connections together. */
   int count(String type, String vm) {
     return connections().stream().mapToInt(connection -> connection.count(type, vm)).sum();
   }
 
-  /** The connection that brings the VM's placement request, once it has come. */
+  /** Waits for the VM's placement request; returns the connection that it was received on. */
   Connection awaitRequest(String vm) {
     Awaitility.await("request " + vm).until(() -> hasReceived(Message.REQUEST, vm));
     return connections().stream()
@@ -160,37 +164,37 @@
         .orElseThrow();
   }
 
-  /** Accepts the VM; what its client is told names the machine. */
+  /** Accepts the VM; the description that its client receives contains the machine's id. */
   void accept(Connection connection, String vm) {
     connection.send(Message.accepted(vm, id + "/" + vm));
   }
 
-  /** From now on it accepts each VM after that time, and ends it at once. */
-  void runEachToItsEndAfter(long millis) {
+  /** From now on accepts each VM after that time, and ends it at once. */
+  void acceptAndEndEachAfter(long millis) {
     answerDelayMillis = millis;
   }
 
-  private void runToItsEnd(Connection connection, String vm) {
+  private void acceptAndEnd(Connection connection, String vm) {
     accept(connection, vm);
     connection.send(Message.of(Message.ENDED, vm, Message.CAUSE_DONE));
   }
 
   @SuppressWarnings("FutureReturnValueIgnored") // Nothing waits for it.
-  private void later(Runnable task) {
+  private void scheduleAnswer(Runnable task) {
     timers.schedule(task, answerDelayMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** Says it on an open connection, else on the next one that comes, as the protocol has it. */
+  /** Sends the message on an open connection, or else on the next one, as the protocol requires. */
   synchronized void sendOnAnyConnection(String message) {
     Optional<Connection> open = openConnections().stream().findFirst();
     if (open.isPresent()) {
       open.get().send(message);
     } else {
-      sentOnNextConnection.add(message);
+      queuedMessages.add(message);
     }
   }
 
-  /** The process dies: nobody listens, and all connections are reset. */
+  /** The machine dies: stops listening, and resets all connections. */
   void die() throws IOException {
     server.close();
     connections().forEach(Connection::reset);
--- a/src/test/java/fordridge/faults/ServeProcess.java
+++ b/src/test/java/fordridge/faults/ServeProcess.java
@@ -13,16 +13,17 @@
 
 /** One {@code serve} process with the heap and collector of {@code deploy/serve.sh}. */
 final class ServeProcess implements AutoCloseable {
-  private static final long START_SECONDS = 20;
+  private static final long START_TIMEOUT_SECONDS = 20;
 
   private final Process process;
   private final List<String> log = new ArrayList<>();
   private final CountDownLatch listening = new CountDownLatch(1);
 
   /**
-   * Starts a process with this configuration; it may not listen yet.
+   * Starts a process with this configuration; returns before it listens.
    *
-   * @param commandPrefix a command that ends by becoming the one that follows it, or nothing
+   * @param commandPrefix a command that executes the command appended to it, such as taskset, or
+   *     empty
    */
   ServeProcess(Path configuration, Optional<SystemCallShim> shim, List<String> commandPrefix)
       throws IOException {
@@ -64,24 +65,24 @@
         }
       }
     } catch (IOException e) {
-      // The process has ended.
+      // The process has exited.
     }
     listening.countDown();
   }
 
   /** Waits until the process listens. */
   void awaitListening() throws IOException, InterruptedException {
-    if (!listening.await(START_SECONDS, TimeUnit.SECONDS) || !process.isAlive()) {
-      throw new IOException("serve did not start: " + log());
+    if (!listening.await(START_TIMEOUT_SECONDS, TimeUnit.SECONDS) || !process.isAlive()) {
+      throw new IOException("serve process exited or did not listen in time; log: " + log());
     }
   }
 
-  /** Sends a signal by its name, as TERM or STOP. */
+  /** Sends a signal by its name, such as TERM or STOP. */
   void signal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** Whether the process ended by itself within that time. */
+  /** Waits for the process to exit; false if it is still running after that time. */
   boolean awaitEnd(long millis) throws InterruptedException {
     return process.waitFor(millis, TimeUnit.MILLISECONDS);
   }
@@ -90,7 +91,7 @@
     return process.isAlive();
   }
 
-  /** A copy of the log so far. */
+  /** A copy of the process's output so far. */
   List<String> log() {
     synchronized (log) {
       return List.copyOf(log);
--- a/src/test/java/fordridge/faults/StallMonitor.java
+++ b/src/test/java/fordridge/faults/StallMonitor.java
@@ -1,8 +1,8 @@
 package fordridge.faults;
 
 /**
- * Measures how long the rig's own process was kept from running: what its peers read late then was
- * not sent late.
+ * Measures stalls of the test's own process, such as waits for a processor. Messages that its peers
+ * read late because of a stall were not sent late by the scheduler.
  */
 final class StallMonitor {
   private static final long INTERVAL_MILLIS = 5;
--- a/src/test/java/fordridge/faults/StartWithHandoverTest.java
+++ b/src/test/java/fordridge/faults/StartWithHandoverTest.java
@@ -6,17 +6,17 @@
 import net.jqwik.api.Example;
 
 /**
- * A process that was killed and started again is handed the VMs of its past while requests of their
- * services come: none is offered where the VMs fill the limit already, nor anywhere else that its
- * class is not allowed.
+ * A scheduler that was killed and restarted gets the handover of its VMs while requests of the same
+ * services arrive. It offers no VM to a machine where the handed-over VMs already reach the limit,
+ * or that the VM's class does not allow.
  */
 class StartWithHandoverTest {
   private static final int LOG_LINES_SHOWN = 2000;
 
-  private static void assertKept(String... faults) throws Exception {
-    FaultRig.Result result = FaultRig.play(FaultPlan.of(faults));
+  private static void assertNoViolations(String... faults) throws Exception {
+    FaultHarness.Result result = FaultHarness.run(FaultPlan.of(faults));
     System.out.println(
-        result.plan() + ": " + result.summary() + ", broken " + result.violations().size());
+        result.plan() + ": " + result.summary() + ", violations " + result.violations().size());
     List<String> log = result.log();
     assertThat(result.violations())
         .as(
@@ -26,21 +26,23 @@
         .isEmpty();
   }
 
-  /** The handover was written before any request is read, on other connections. */
+  /** The handover is written, on other connections, before the scheduler reads any request. */
   @Example
-  void handoverThatWaitsInItsSocketIsKnownToTheRequestsThatCameWithIt() throws Exception {
-    assertKept("HANDOVER_STOPPED@700=700", "PROCESS_KILLED@800=100");
+  void unreadHandoverIsAppliedBeforeConcurrentRequests() throws Exception {
+    assertNoViolations("HANDOVER_STOPPED@700=700", "PROCESS_KILLED@800=100");
   }
 
-  /** The offers are decided, and the VMs are handed over before the first byte can be sent. */
+  /**
+   * The offers are decided but wait for connections to their machines; the handover is read first.
+   */
   @Example
   void offerThatWaitsForItsConnectionIsDecidedAnewAfterAHandover() throws Exception {
-    assertKept("HANDOVER_CONNECTS_LATE@700=600", "PROCESS_KILLED@800=100");
+    assertNoViolations("HANDOVER_CONNECTS_LATE@700=600", "PROCESS_KILLED@800=100");
   }
 
-  /** Nothing is compiled, and the process gets a part of a core. */
+  /** The JVM has compiled no code yet, and the process gets only a share of a core. */
   @Example
-  void starvedColdStartKeepsTheLimits() throws Exception {
-    assertKept("CORE_CONTENDED@100=3", "PROCESS_KILLED@800=150");
+  void coldStartOnContendedCoreKeepsLimits() throws Exception {
+    assertNoViolations("CORE_CONTENDED@100=3", "PROCESS_KILLED@800=150");
   }
 }
--- a/src/test/java/fordridge/faults/SystemCallFaults.java
+++ b/src/test/java/fordridge/faults/SystemCallFaults.java
@@ -2,7 +2,7 @@
 
 import fordridge.faults.SystemCallShim.Slot;
 
-/** Sets the faults of a plan that concern system calls and clocks in a process's shim. */
+/** Injects the faults of a plan that concern system calls and clocks, through a process's shim. */
 final class SystemCallFaults {
   private static final int[] ACCEPT_ERRORS = {
     SystemCallShim.ECONNABORTED,
@@ -20,16 +20,19 @@
 
   private SystemCallFaults() {}
 
-  /** The amount is a number of calls, which draws their error too, of bytes, seconds or more. */
+  /** Injects the fault. If its amount is a number of failing calls, it selects their error too. */
   static void inject(Fault fault, SystemCallShim shim) {
     int amount = fault.amount();
     switch (fault.kind()) {
       case ACCEPT_FAILS ->
-          shim.fail(Slot.ACCEPT_COUNT, Slot.ACCEPT_ERRNO, drawn(ACCEPT_ERRORS, amount), amount);
+          shim.fail(
+              Slot.ACCEPT_COUNT, Slot.ACCEPT_ERRNO, selectError(ACCEPT_ERRORS, amount), amount);
       case CONNECT_FAILS ->
-          shim.fail(Slot.CONNECT_COUNT, Slot.CONNECT_ERRNO, drawn(CONNECT_ERRORS, amount), amount);
+          shim.fail(
+              Slot.CONNECT_COUNT, Slot.CONNECT_ERRNO, selectError(CONNECT_ERRORS, amount), amount);
       case SOCKET_FAILS ->
-          shim.fail(Slot.SOCKET_COUNT, Slot.SOCKET_ERRNO, drawn(SOCKET_ERRORS, amount), amount);
+          shim.fail(
+              Slot.SOCKET_COUNT, Slot.SOCKET_ERRNO, selectError(SOCKET_ERRORS, amount), amount);
       case SHORT_READS -> shim.set(Slot.READ_MAX, amount);
       case SHORT_WRITES -> shim.set(Slot.WRITE_MAX, amount);
       case WAITS_INTERRUPTED -> shim.set(Slot.EPOLL_INTERRUPTS, amount);
@@ -39,7 +42,7 @@
     }
   }
 
-  private static int drawn(int[] errors, int amount) {
+  private static int selectError(int[] errors, int amount) {
     return errors[amount % errors.length];
   }
 }
--- a/src/test/java/fordridge/faults/SystemCallShim.java
+++ b/src/test/java/fordridge/faults/SystemCallShim.java
@@ -15,11 +15,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A library that is preloaded into one scheduler process and lets its system calls fail, built from
- * {@code faults/shim.c} with the machine's C compiler.
+ * A library that is preloaded into one scheduler process, makes its system calls fail and changes
+ * its clocks. It is built from {@code faults/shim.c} with the host's C compiler.
  */
 final class SystemCallShim implements AutoCloseable {
-  /** What can be controlled; the order is that of the slots in the C source. */
+  /** A 32-bit integer in the control file; the order is the same as in {@code faults/shim.c}. */
   enum Slot {
     ACCEPT_COUNT(0),
     ACCEPT_ERRNO(1),
@@ -32,7 +32,7 @@
     EPOLL_INTERRUPTS(8),
     WALL_CLOCK_SECONDS(9),
     METERED_CLOCK_MILLIS(10),
-    /** Counted by the shim: waits that could not block and found nothing. */
+    /** Written by the shim: the number of non-blocking epoll_wait calls that found no event. */
     EMPTY_POLLS(11);
 
     private final int index;
@@ -66,7 +66,7 @@
     control.order(ByteOrder.nativeOrder());
   }
 
-  /** A shim for one process; empty where there is no C compiler. */
+  /** Creates the shim of one process; empty if the host has no C compiler. */
   static Optional<SystemCallShim> create() throws IOException, InterruptedException {
     return library().isPresent() ? Optional.of(new SystemCallShim()) : Optional.empty();
   }
@@ -100,17 +100,18 @@
               .redirectErrorStream(true)
               .start();
     } catch (IOException e) {
-      System.out.println("fault rig: no C compiler, system call faults are not run");
+      System.out.println(
+          "fault harness: C compiler cc not found; system call faults are not injected");
       return Optional.empty();
     }
     String messages = new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     if (!compiler.waitFor(1, TimeUnit.MINUTES) || compiler.exitValue() != 0) {
-      throw new IOException("shim.c can't be built: " + messages);
+      throw new IOException("cc failed to build faults/shim.c: " + messages);
     }
     return Optional.of(output);
   }
 
-  /** Adds what loads the shim to a process's environment. */
+  /** Adds the variables that load and configure the shim to a process's environment. */
   void addTo(Map<String, String> environment) {
     environment.put("LD_PRELOAD", library.orElseThrow().toString());
     environment.put("FAULT_CONTROL", controlFile.toString());
@@ -124,7 +125,7 @@
     return control.getInt(slot.index * Integer.BYTES);
   }
 
-  /** Lets the next {@code count} calls that {@code countSlot} names fail with this error. */
+  /** Makes the next {@code count} calls that {@code countSlot} stands for fail with this error. */
   void fail(Slot countSlot, Slot errnoSlot, int errno, int count) {
     set(errnoSlot, errno);
     set(countSlot, count);
--- a/src/test/java/fordridge/faults/UnsettledAttemptTest.java
+++ b/src/test/java/fordridge/faults/UnsettledAttemptTest.java
@@ -11,23 +11,26 @@
 import org.awaitility.Awaitility;
 
 /**
- * A real scheduler process has given an attempt up, and its machine may run the VM all the same:
- * the VM is released there, as nobody owns it. Each way of giving up is forced by a script.
+ * A real scheduler process gives up an attempt whose VM the machine may run all the same. It has to
+ * release the VM there, as no client owns it. Each way to give up an attempt is forced by a script.
  */
 class UnsettledAttemptTest {
-  /** The protocol's time for a word on a VM, and the rest for a busy test machine. */
+  /**
+   * The protocol's limit of 1 s for a message on a VM, and 400 ms of slack for a busy test host.
+   */
   private static final Duration RELEASED_WITHIN = Duration.ofMillis(1000 + 400);
 
-  /** Where the scheduler waits for a machine to close its side, for one second, first. */
-  private static final Duration RELEASED_WITHIN_UNCLOSED = RELEASED_WITHIN.plusMillis(1000);
+  /** The limit where the scheduler first waits up to 1 s for the machine to close its side. */
+  private static final Duration RELEASED_WITHIN_AFTER_CLOSE_TIMEOUT =
+      RELEASED_WITHIN.plusMillis(1000);
 
-  private static final long CROSSING_MILLIS = 100;
-  private static final long LEFT_MILLIS = 1400;
-  private static final long LEFT_MILLIS_ONCE = 2900;
-  private static final String REPEATABLE = RigConfiguration.REPEATABLE_CLASS;
-  private static final String ONCE = RigConfiguration.LIMITED_CLASS;
+  private static final long PAUSE_MILLIS = 100;
+  private static final long REPEATABLE_TIME_LEFT_MILLIS = 1400;
+  private static final long NON_REPEATABLE_TIME_LEFT_MILLIS = 2900;
+  private static final String REPEATABLE = HarnessConfiguration.REPEATABLE_CLASS;
+  private static final String NON_REPEATABLE = HarnessConfiguration.LIMITED_CLASS;
 
-  private static ScriptedRig rig;
+  private static ScriptedHarness harness;
   private static int service = 1;
 
   private ScriptedMachine machine;
@@ -35,175 +38,186 @@
 
   @BeforeContainer
   static void startScheduler() throws Exception {
-    rig = new ScriptedRig();
+    harness = new ScriptedHarness();
   }
 
   @AfterContainer
   static void stopScheduler() throws Exception {
-    rig.close();
+    harness.close();
   }
 
   @AfterProperty
   void removeMachines() throws Exception {
-    rig.removeMachines();
+    harness.removeMachines();
   }
 
-  /** The connection on which the only machine gets the request of a VM. */
+  /** Requests a VM; returns the connection on which the only machine receives the request. */
   private ScriptedMachine.Connection offer(String vm, String priorityClass) throws Exception {
     if (machine == null) {
-      machine = rig.addMachine();
-      client = rig.connect();
+      machine = harness.addMachine();
+      client = harness.connect();
     }
     client.request(
-        vm, priorityClass, priorityClass.equals(ONCE) ? LEFT_MILLIS_ONCE : LEFT_MILLIS, service++);
+        vm,
+        priorityClass,
+        priorityClass.equals(NON_REPEATABLE)
+            ? NON_REPEATABLE_TIME_LEFT_MILLIS
+            : REPEATABLE_TIME_LEFT_MILLIS,
+        service++);
     return machine.awaitRequest(vm);
   }
 
-  /** A connection of the machine that stays open, on which a VM was accepted. */
+  /** A connection of the machine that stays open as it has accepted a VM on it. */
   private ScriptedMachine.Connection openConnection() throws Exception {
-    String vm = rig.newVmId();
+    String vm = harness.newVmId();
     ScriptedMachine.Connection connection = offer(vm, REPEATABLE);
     machine.accept(connection, vm);
     client.awaitAccepted(vm);
     return connection;
   }
 
-  private static void awaitReleased(ScriptedMachine at, String vm, Duration within) {
-    Awaitility.await("release of " + vm + " at " + at.id())
+  private static void awaitReleased(ScriptedMachine target, String vm, Duration within) {
+    Awaitility.await("release of " + vm + " at " + target.id())
         .pollInterval(Duration.ofMillis(10))
         .atMost(within)
-        .until(() -> at.hasReceived(Message.ENDED, vm));
+        .until(() -> target.hasReceived(Message.ENDED, vm));
   }
 
   private static void pause() throws InterruptedException {
-    TimeUnit.MILLISECONDS.sleep(CROSSING_MILLIS);
+    TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
   }
 
   @Example
-  void resetBeforeTheAnswerOfAClassThatIsNotRepeated() throws Exception {
-    String vm = rig.newVmId();
-    ScriptedMachine.Connection own = offer(vm, ONCE);
+  void connectionResetBeforeAnswerOfNonRepeatableClass() throws Exception {
+    String vm = harness.newVmId();
+    ScriptedMachine.Connection requestConnection = offer(vm, NON_REPEATABLE);
     openConnection();
-    own.reset();
+    requestConnection.reset();
     awaitReleased(machine, vm, RELEASED_WITHIN);
-    Awaitility.await().until(() -> client.isTold(vm));
-    assertThat(client.wordsOn(vm)).containsExactly(Message.ENDED);
+    Awaitility.await().until(() -> client.hasEndNotice(vm));
+    assertThat(client.messageTypes(vm)).containsExactly(Message.ENDED);
   }
 
   @Example
-  void resetOfTheOnlyConnection() throws Exception {
-    String vm = rig.newVmId();
-    offer(vm, ONCE).reset();
+  void resetOfOnlyConnection() throws Exception {
+    String vm = harness.newVmId();
+    offer(vm, NON_REPEATABLE).reset();
     awaitReleased(machine, vm, RELEASED_WITHIN);
   }
 
   @Example
-  void unreadableAnswer() throws Exception {
-    String vm = rig.newVmId();
-    offer(vm, ONCE).sendUnreadable();
+  void malformedAnswer() throws Exception {
+    String vm = harness.newVmId();
+    offer(vm, NON_REPEATABLE).sendMalformed();
     awaitReleased(machine, vm, RELEASED_WITHIN);
   }
 
   @Example
-  void resetBeforeTheAnswerAndAcceptedElsewhere() throws Exception {
-    String vm = rig.newVmId();
-    ScriptedMachine.Connection own = offer(vm, REPEATABLE);
+  void connectionResetBeforeAnswerAndAcceptedElsewhere() throws Exception {
+    String vm = harness.newVmId();
+    ScriptedMachine.Connection requestConnection = offer(vm, REPEATABLE);
     openConnection();
-    ScriptedMachine other = rig.addMachine();
-    own.reset();
-    ScriptedMachine.Connection again = other.awaitRequest(vm);
-    other.accept(again, vm);
+    ScriptedMachine other = harness.addMachine();
+    requestConnection.reset();
+    ScriptedMachine.Connection secondAttempt = other.awaitRequest(vm);
+    other.accept(secondAttempt, vm);
     client.awaitAccepted(vm);
     awaitReleased(machine, vm, RELEASED_WITHIN);
     pause();
     assertThat(other.hasReceived(Message.ENDED, vm)).as("released where it is owned").isFalse();
-    again.send(Message.of(Message.ENDED, vm, Message.CAUSE_DONE));
-    Awaitility.await().until(() -> client.isTold(vm));
+    secondAttempt.send(Message.of(Message.ENDED, vm, Message.CAUSE_DONE));
+    Awaitility.await().until(() -> client.hasEndNotice(vm));
   }
 
   @Example
-  void withdrawnByItsClientAndResetBeforeThatIsRead() throws Exception {
-    String vm = rig.newVmId();
-    ScriptedMachine.Connection own = offer(vm, REPEATABLE);
+  void withdrawnByClientAndResetBeforeWithdrawalIsRead() throws Exception {
+    String vm = harness.newVmId();
+    ScriptedMachine.Connection requestConnection = offer(vm, REPEATABLE);
     openConnection();
-    own.stopReading();
+    requestConnection.stopReading();
     client.terminate(vm);
     pause();
-    own.reset();
+    requestConnection.reset();
     awaitReleased(machine, vm, RELEASED_WITHIN);
   }
 
   @Example
-  void clientClosesAndTheWithdrawalIsNeverRead() throws Exception {
-    String vm = rig.newVmId();
-    ScriptedMachine.Connection own = offer(vm, REPEATABLE);
+  void clientClosesAndWithdrawalIsNeverRead() throws Exception {
+    String vm = harness.newVmId();
+    ScriptedMachine.Connection requestConnection = offer(vm, REPEATABLE);
     openConnection();
-    own.stopReading();
+    requestConnection.stopReading();
     client.close();
-    awaitReleased(machine, vm, RELEASED_WITHIN_UNCLOSED);
+    awaitReleased(machine, vm, RELEASED_WITHIN_AFTER_CLOSE_TIMEOUT);
   }
 
   @Example
-  void timedOutAndTheWithdrawalIsNeverRead() throws Exception {
-    String vm = rig.newVmId();
-    ScriptedMachine.Connection own = offer(vm, ONCE);
+  void timedOutAndWithdrawalIsNeverRead() throws Exception {
+    String vm = harness.newVmId();
+    ScriptedMachine.Connection requestConnection = offer(vm, NON_REPEATABLE);
     openConnection();
-    own.stopReading();
-    awaitReleased(machine, vm, Duration.ofMillis(LEFT_MILLIS_ONCE).plus(RELEASED_WITHIN_UNCLOSED));
+    requestConnection.stopReading();
+    awaitReleased(
+        machine,
+        vm,
+        Duration.ofMillis(NON_REPEATABLE_TIME_LEFT_MILLIS)
+            .plus(RELEASED_WITHIN_AFTER_CLOSE_TIMEOUT));
   }
 
   @Example
-  void answerOnAnotherConnectionAfterTheRequestsOwnWasReset() throws Exception {
-    String vm = rig.newVmId();
-    ScriptedMachine.Connection own = offer(vm, ONCE);
-    ScriptedMachine.Connection open = openConnection();
-    own.reset();
+  void answerOnOtherConnectionAfterOwnConnectionWasReset() throws Exception {
+    String vm = harness.newVmId();
+    ScriptedMachine.Connection requestConnection = offer(vm, NON_REPEATABLE);
+    ScriptedMachine.Connection otherConnection = openConnection();
+    requestConnection.reset();
     pause();
-    int before = open.count(Message.ENDED, vm);
-    machine.accept(open, vm);
-    Awaitility.await("release of " + vm + " behind its answer")
+    int releasesBefore = otherConnection.count(Message.ENDED, vm);
+    machine.accept(otherConnection, vm);
+    Awaitility.await("release of " + vm + " after its answer")
         .atMost(RELEASED_WITHIN)
-        .until(() -> open.count(Message.ENDED, vm) > before);
-    Awaitility.await().until(() -> client.isTold(vm));
-    assertThat(client.wordsOn(vm)).containsExactly(Message.ENDED);
+        .until(() -> otherConnection.count(Message.ENDED, vm) > releasesBefore);
+    Awaitility.await().until(() -> client.hasEndNotice(vm));
+    assertThat(client.messageTypes(vm)).containsExactly(Message.ENDED);
   }
 
   @Example
-  void answerOfAVmThatNobodyRequested() throws Exception {
-    String vm = rig.newVmId();
-    machine = rig.addMachine();
-    client = rig.connect();
+  void answerForUnrequestedVm() throws Exception {
+    String vm = harness.newVmId();
+    machine = harness.addMachine();
+    client = harness.connect();
     machine.accept(openConnection(), vm);
     awaitReleased(machine, vm, RELEASED_WITHIN);
   }
 
   @Example
   void terminationThatIsNeverReadIsRepeated() throws Exception {
-    String vm = rig.newVmId();
-    ScriptedMachine.Connection own = offer(vm, REPEATABLE);
-    machine.accept(own, vm);
+    String vm = harness.newVmId();
+    ScriptedMachine.Connection requestConnection = offer(vm, REPEATABLE);
+    machine.accept(requestConnection, vm);
     client.awaitAccepted(vm);
-    own.stopReading();
+    requestConnection.stopReading();
     client.terminate(vm);
     pause();
-    own.reset();
+    requestConnection.reset();
     awaitReleased(machine, vm, RELEASED_WITHIN);
   }
 
   @Example
-  void handedOverAfterItWasGivenUpIsNotReleased() throws Exception {
-    String vm = rig.newVmId();
-    ScriptedMachine.Connection own = offer(vm, REPEATABLE);
-    ScriptedMachine.Connection open = openConnection();
-    open.stopAnsweringHealthChecks();
-    own.reset();
+  void vmHandedOverAfterAbandonedAttemptIsNotReleased() throws Exception {
+    String vm = harness.newVmId();
+    ScriptedMachine.Connection requestConnection = offer(vm, REPEATABLE);
+    ScriptedMachine.Connection otherConnection = openConnection();
+    otherConnection.stopAnsweringHealthChecks();
+    requestConnection.reset();
     awaitReleased(machine, vm, RELEASED_WITHIN);
-    ScriptedClient again = rig.connect();
-    again.handOver(vm, REPEATABLE, machine.id(), 1);
+    ScriptedClient reconnected = harness.connect();
+    reconnected.handOver(vm, REPEATABLE, machine.id(), 1);
     pause();
-    int before = machine.count(Message.ENDED, vm);
+    int releasesBefore = machine.count(Message.ENDED, vm);
     openConnection();
     TimeUnit.MILLISECONDS.sleep(RELEASED_WITHIN.toMillis());
-    assertThat(machine.count(Message.ENDED, vm)).as("releases of an owned VM").isEqualTo(before);
+    assertThat(machine.count(Message.ENDED, vm))
+        .as("releases of an owned VM")
+        .isEqualTo(releasesBefore);
   }
 }
--- a/src/test/resources/faults/shim.c
+++ b/src/test/resources/faults/shim.c
@@ -1,6 +1,7 @@
 /*
- * Preloaded into a scheduler's process by the fault rig: lets system calls fail in ways that Linux documents, and bends
- * the clocks. Controlled through a shared file of 32-bit integers (FAULT_CONTROL); see SystemCallShim.java for the slots.
+ * Preloaded into a scheduler process by the fault tests: makes system calls fail in ways that Linux documents, and
+ * changes the clocks. Controlled through a shared file of 32-bit integers, which the variable FAULT_CONTROL names. The
+ * order of the integers is that of SystemCallShim.Slot in SystemCallShim.java.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -19,11 +20,12 @@
 enum { ACCEPT_COUNT, ACCEPT_ERRNO, SOCKET_COUNT, SOCKET_ERRNO, CONNECT_COUNT, CONNECT_ERRNO, READ_MAX, WRITE_MAX,
        EPOLL_INTERRUPTS, WALL_CLOCK_SECONDS, METERED_CLOCK_MILLIS, EMPTY_POLLS, SLOTS };
 
-static volatile int32_t none[SLOTS];
-static volatile int32_t *control = none;
+static volatile int32_t no_faults[SLOTS];
+static volatile int32_t *control = no_faults;
+/* The time that the metered clock shows, and the real monotonic time at which it was last set. */
 static volatile int64_t frozen_nanos;
 static volatile int64_t frozen_at;
-static volatile int64_t last_nanos;
+static volatile int64_t last_nanos; /* The latest monotonic time that was returned, which must not decrease. */
 
 __attribute__((constructor)) static void open_control(void) {
   const char *path = getenv("FAULT_CONTROL");
@@ -37,58 +39,62 @@
 
 #define REAL(name) ((__typeof__(&name)) dlsym(RTLD_NEXT, #name))
 
-/* Takes one of the failures that are left in the slot; true if there was one. */
-static int takes(int slot) {
+/* Decrements the number of failures left in the slot; false if there were none. */
+static int consume_failure(int slot) {
   if (control[slot] <= 0) return 0;
   if (__sync_sub_and_fetch(&control[slot], 1) >= 0) return 1;
   __sync_fetch_and_add(&control[slot], 1);
   return 0;
 }
 
-static int is_inet(int fd) {
+/* Whether the descriptor is a stream socket; keeps errno. */
+static int is_stream_socket(int fd) {
   int type;
   socklen_t length = sizeof type;
   int saved = errno;
-  int is = getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &length) == 0 && type == SOCK_STREAM;
+  int is_stream = getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &length) == 0 && type == SOCK_STREAM;
   errno = saved;
-  return is;
+  return is_stream;
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
-  if (takes(ACCEPT_COUNT)) { errno = control[ACCEPT_ERRNO]; return -1; }
+  if (consume_failure(ACCEPT_COUNT)) { errno = control[ACCEPT_ERRNO]; return -1; }
   return REAL(accept)(fd, address, length);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
-  if (takes(ACCEPT_COUNT)) { errno = control[ACCEPT_ERRNO]; return -1; }
+  if (consume_failure(ACCEPT_COUNT)) { errno = control[ACCEPT_ERRNO]; return -1; }
   return REAL(accept4)(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
-  if ((domain == AF_INET || domain == AF_INET6) && takes(SOCKET_COUNT)) { errno = control[SOCKET_ERRNO]; return -1; }
+  int is_ip = domain == AF_INET || domain == AF_INET6;
+  if (is_ip && consume_failure(SOCKET_COUNT)) { errno = control[SOCKET_ERRNO]; return -1; }
   return REAL(socket)(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
   int is_ip = address->sa_family == AF_INET || address->sa_family == AF_INET6;
-  if (is_ip && takes(CONNECT_COUNT)) { errno = control[CONNECT_ERRNO]; return -1; }
+  if (is_ip && consume_failure(CONNECT_COUNT)) { errno = control[CONNECT_ERRNO]; return -1; }
   return REAL(connect)(fd, address, length);
 }
 
 ssize_t read(int fd, void *buffer, size_t count) {
-  size_t most = control[READ_MAX];
-  if (most > 0 && count > most && is_inet(fd)) count = most;
+  size_t max_bytes = control[READ_MAX];
+  if (max_bytes > 0 && count > max_bytes && is_stream_socket(fd)) count = max_bytes;
   return REAL(read)(fd, buffer, count);
 }
 
 ssize_t write(int fd, const void *buffer, size_t count) {
-  size_t most = control[WRITE_MAX];
-  if (most > 0 && count > most && is_inet(fd)) count = most;
+  size_t max_bytes = control[WRITE_MAX];
+  if (max_bytes > 0 && count > max_bytes && is_stream_socket(fd)) count = max_bytes;
   return REAL(write)(fd, buffer, count);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
-  if (control[WRITE_MAX] > 0 && count > 0 && is_inet(fd)) return write(fd, parts[0].iov_base, parts[0].iov_len);
+  if (control[WRITE_MAX] > 0 && count > 0 && is_stream_socket(fd)) {
+    return write(fd, parts[0].iov_base, parts[0].iov_len);
+  }
   return REAL(writev)(fd, parts, count);
 }
 
@@ -103,7 +109,10 @@
   frozen_nanos = frozen_at;
 }
 
-/* Charges the time used only when the process waits, as a metered processor may: between waits the clock creeps. */
+/*
+ * The clock of a metered processor, which charges the CPU time used only when the process waits: between two waits it
+ * advances by 10 ns at each call, until METERED_CLOCK_MILLIS have passed.
+ */
 static int64_t metered_nanos(void) {
   int64_t real = real_nanos();
   if (frozen_nanos == 0 || real - frozen_at > control[METERED_CLOCK_MILLIS] * 1000000LL) refresh_clock();
@@ -129,10 +138,10 @@
   return result;
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
-  if (timeout != 0 && takes(EPOLL_INTERRUPTS)) { errno = EINTR; return -1; }
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
+  if (timeout != 0 && consume_failure(EPOLL_INTERRUPTS)) { errno = EINTR; return -1; }
   if (timeout != 0 && control[METERED_CLOCK_MILLIS] > 0) refresh_clock();
-  int ready = REAL(epoll_wait)(fd, events, most, timeout);
+  int ready = REAL(epoll_wait)(fd, events, max_events, timeout);
   if (timeout == 0 && ready == 0) __sync_fetch_and_add(&control[EMPTY_POLLS], 1);
   if (timeout != 0 && control[METERED_CLOCK_MILLIS] > 0) { int saved = errno; refresh_clock(); errno = saved; }
   return ready;
