--- a/src/test/java/fordridge/faults/FakeClients.java
+++ b/src/test/java/fordridge/faults/FakeClients.java
@@ -133,10 +133,7 @@
     }
   }
 
-  /**
-   * As {@link #sendRequest()}, but only on connections that are already open unless {@code
-   * mayOpen}.
-   */
+  /** As {@link #sendRequest()}, on a connection that is already open unless {@code mayOpen}. */
   synchronized void sendRequestOnOpen(boolean mayOpen) {
     clients.removeIf(client -> !client.connection.isOpen());
     if (mayOpen) {
@@ -268,7 +265,7 @@
     client.openRequests.clear();
   }
 
-  /** The open connections are reset by a fault next: the scheduler is not blamed for their end. */
+  /** The open connections are reset by a fault next: their end is not counted as a violation. */
   synchronized void connectionsCutByFault() {
     for (Client client : clients) {
       client.isCutByFault = true;
--- a/src/test/java/fordridge/faults/FakeMachine.java
+++ b/src/test/java/fordridge/faults/FakeMachine.java
@@ -73,7 +73,8 @@
   private volatile boolean isQueueFilled;
 
   /**
-   * When the last connection that filled the queue was accepted, or the earliest time it can be.
+   * When the last connection that filled the queue was accepted; until it is, the earliest time at
+   * which that can happen.
    */
   private volatile long queueFullAtNanos;
 
@@ -211,7 +212,7 @@
     }
   }
 
-  /** Fills the accept queue for this time: connections are established some time after it. */
+  /** Fills the accept queue for this time: new connections are established only some time after. */
   void acceptLate(long millis) throws IOException, InterruptedException {
     acceptsFromNanos = System.nanoTime() + millis * 1_000_000;
     queueFullAtNanos = acceptsFromNanos;
@@ -421,8 +422,7 @@
   }
 
   /**
-   * Hangs for this time: messages that are scheduled during it are sent later by what is left of
-   * it.
+   * Hangs for this time: what the machine schedules meanwhile is done later by the remaining time.
    */
   void hang(long millis) {
     hungUntilNanos = System.nanoTime() + millis * 1_000_000;
--- a/src/test/java/fordridge/faults/Fault.java
+++ b/src/test/java/fordridge/faults/Fault.java
@@ -8,7 +8,7 @@
  *     depending on the kind
  */
 record Fault(Kind kind, long atMillis, int amount) {
-  /** The kind of fault, each with the bounds of the amount that a generated plan draws. */
+  /** The kinds of faults, each with the bounds of the amount that a generated plan draws. */
   enum Kind {
     /** Resets all clients' connections at the proxy before the scheduler. The amount is unused. */
     CLIENT_HOP_RESET(0, 1),
@@ -30,7 +30,7 @@
     LINES_SPLIT(1, 40),
     /** All connections to one machine are reset. The amount is unused. */
     MACHINE_HOP_RESET(0, 1),
-    /** As {@link #MACHINE_HOP_RESET}. The amount is drawn and unused. */
+    /** As {@link #MACHINE_HOP_RESET}. The amount is drawn but unused. */
     MACHINE_HOP_CUT(10, 400),
     /** As {@link #MACHINE_HANGS}, with another range of the amount. */
     MACHINE_HOP_SILENT(100, 1200),
@@ -58,7 +58,7 @@
      * turn) until it ends, and is restarted.
      */
     PROCESS_TERMINATED(0, 4),
-    /** The configuration is written anew, and the scheduler gets SIGHUP. */
+    /** The configuration file is rewritten, and the scheduler gets SIGHUP. */
     PROCESS_RELOADED(0, 1),
     /** The next {@code amount} calls of accept fail. The amount selects the error too. */
     ACCEPT_FAILS(1, 6),
--- a/src/test/java/fordridge/faults/PlacementChecker.java
+++ b/src/test/java/fordridge/faults/PlacementChecker.java
@@ -23,7 +23,7 @@
   /** The protocol allows 0.2 s; the rest is slack for a busy test host. */
   private static final long HANDOVER_GRACE_MILLIS = 200 + 150;
 
-  /** A request may arrive, on another connection, before the withdrawal that freed its place. */
+  /** A withdrawal may arrive, on another connection, after the request that takes its place. */
   private static final long REORDERING_MILLIS = 100;
 
   /**
