--- a/src/main/java/fordridge/emulator/invariant/ConstraintChecker.java
+++ b/src/main/java/fordridge/emulator/invariant/ConstraintChecker.java
@@ -18,10 +18,11 @@
  * Checks each offer against the tenants' constraints. It counts the VMs that the offering scheduler
  * had running and shares no code with the scheduler's own evaluation of constraints.
  *
- * <p>A VM counts towards {@code apart} and {@code spread at most} while it runs on its machine. For
- * {@code near}, a VM that satisfies the constraint counts from its offer until shortly after its
- * end, as the scheduler may not have received the end yet. {@code spread within} is not checked,
- * because it depends on which machines were available to the scheduler.
+ * <p>A VM counts towards {@code apart} and {@code spread at most} while it runs on its machine. A
+ * {@code near} constraint applies while a matching VM runs; a matching VM satisfies it from its
+ * offer until shortly after its end, as the scheduler may not have been notified of the end yet.
+ * {@code spread within} is not checked, because it depends on which machines were available to the
+ * scheduler.
  */
 final class ConstraintChecker {
   /** The longest delay until a scheduler learns of a VM's end, in microseconds. */
@@ -74,8 +75,8 @@
   }
 
   /**
-   * The published set of constraints last, preceded by the previous set while a scheduler may still
-   * use that one.
+   * The latest published set of constraints, preceded by the previous set while a scheduler may
+   * still use that one.
    */
   private final Deque<List<PlacementConstraint>> constraintSets = new ArrayDeque<>();
 
@@ -92,7 +93,7 @@
       constraintSets.addLast(ConstraintParser.parse(text, ConstraintParser.KnownNames.UNCHECKED));
     } catch (ConstraintSyntaxException e) {
       throw new IllegalArgumentException(
-          "invalid constraints in the recording:  " + e.messages(), e);
+          "invalid constraints in the recording: " + e.messages(), e);
     }
     if (constraintSets.size() > 2) {
       constraintSets.removeFirst();
@@ -111,7 +112,7 @@
    * @return a violated constraint if the offer violates one in every set that may be in force, else
    *     empty
    */
-  Optional<String> offered(String scheduler, Placement placement, long nowUs) {
+  Optional<String> checkOffer(String scheduler, Placement placement, long nowUs) {
     List<Placement> others =
         placementsByScheduler.computeIfAbsent(scheduler, name -> new ArrayList<>());
     others.removeIf(other -> other.isEndKnownToScheduler(nowUs));
--- a/src/main/java/fordridge/emulator/invariant/ConstraintInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/ConstraintInvariant.java
@@ -43,7 +43,7 @@
     placements.put(attempt, placement);
     findings.increment(Figure.OFFERS_CHECKED_AGAINST_CONSTRAINTS);
     checker
-        .offered(attempt.scheduler, placement, attempt.offeredAtUs)
+        .checkOffer(attempt.scheduler, placement, attempt.offeredAtUs)
         .ifPresent(
             violated ->
                 findings.addViolation(
--- a/src/main/java/fordridge/emulator/machine/AdmissionQueue.java
+++ b/src/main/java/fordridge/emulator/machine/AdmissionQueue.java
@@ -32,7 +32,7 @@
   private boolean isDraining;
 
   /** Creates an empty queue that passes accepted VMs to the handler. */
-  AdmissionQueue(MachineContext context, Consumer<HostedVm> startUp) {
+  AdmissionQueue(MachineContext context, Consumer<HostedVm> acceptedVmHandler) {
     spec = context.spec();
     faults = context.faults();
     events = context.events();
@@ -40,7 +40,7 @@
     vms = context.vms();
     lifecycle = context.lifecycle();
     listener = context.listener();
-    this.acceptedVmHandler = startUp;
+    this.acceptedVmHandler = acceptedVmHandler;
   }
 
   void offered(HostedVm vm) {
--- a/src/main/java/fordridge/emulator/machine/MachineModel.java
+++ b/src/main/java/fordridge/emulator/machine/MachineModel.java
@@ -13,7 +13,7 @@
  *
  * <p>It uses neither sockets nor clocks: the caller passes the time to {@link #advanceTo}. It can
  * therefore run behind a socket or in virtual time, and the same seed and inputs give the same run.
- * Its parameters do not come from measurements of real machines. Not thread-safe.
+ * It is a simplified model, not a reproduction of measurements of real machines. Not thread-safe.
  */
 public final class MachineModel {
   private final MachineSpec spec;
@@ -77,7 +77,7 @@
   }
 
   /**
-   * Receives an offer. A repeated offer starts nothing; the machine reports the VM's present state.
+   * Receives an offer. A repeated offer starts nothing; the machine reports the VM's state again.
    */
   public void offered(HostedVm vm) {
     if (events.isHalted()) {
