--- a/src/main/java/fordridge/cli/CheckConfigCommand.java
+++ b/src/main/java/fordridge/cli/CheckConfigCommand.java
@@ -9,10 +9,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code check-config}: checks a settings file, and its machine list where that is a file. */
+/** {@code check-config}: validates a settings file, and its machine list file if that exists. */
 @Command(
     name = "check-config",
-    description = "Checks a settings file whole, and its machine list.",
+    description = "Validates a settings file and its machine list file.",
     mixinStandardHelpOptions = true)
 final class CheckConfigCommand implements Callable<Integer> {
   private static final long FIRST_VERSION = 1;
@@ -24,12 +24,14 @@
   public Integer call() throws Exception {
     DeploymentSettings settings = Cli.readSettings(file, Map.of());
     PlacerCommand.readShadowSettings(settings);
-    File list = settings.machineListFile();
-    if (list.isFile()) {
-      int machines = MachineListFile.read(list, settings, FIRST_VERSION).entries().size();
-      System.out.println(file + ": fine; " + machines + " machines in " + list);
+    File machineListFile = settings.machineListFile();
+    if (machineListFile.isFile()) {
+      int machines =
+          MachineListFile.read(machineListFile, settings, FIRST_VERSION).entries().size();
+      System.out.println(file + ": valid; " + machines + " machines in " + machineListFile);
     } else {
-      System.out.println(file + ": fine; no list of machines at " + list + " yet");
+      System.out.println(
+          file + ": valid; machine list file " + machineListFile + " does not exist yet");
     }
     return ExitCode.OK;
   }
--- a/src/main/java/fordridge/cli/Cli.java
+++ b/src/main/java/fordridge/cli/Cli.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line with its sub-commands; exit codes are in {@link ExitCode}. */
+/** The command line interface with its subcommands; {@link ExitCode} has the exit codes. */
 @Command(
     name = "fordridge",
     description = "Places VMs on a cluster's machines.",
@@ -32,7 +32,7 @@
 public final class Cli extends CommandGroup {
   private static final String ERROR_PREFIX = "fordridge: ";
 
-  /** Runs one command line; returns its exit code. */
+  /** Parses and executes a command line, and returns its exit code. */
   public static int run(String[] arguments) {
     CommandLine commandLine = new CommandLine(new Cli());
     commandLine.setExecutionExceptionHandler(
@@ -43,16 +43,16 @@
     return commandLine.execute(arguments);
   }
 
-  /** Settings of a file, with changes of single keys from the command line. */
-  static DeploymentSettings readSettings(File file, Map<String, ?> changes)
+  /** Reads a settings file, with values of single keys overridden on the command line. */
+  static DeploymentSettings readSettings(File file, Map<String, ?> overrides)
       throws InvalidSettingsException {
     Config config = DeploymentSettings.parse(file);
     return DeploymentSettings.read(
-        ConfigFactory.parseMap(changes, "command line").withFallback(config),
+        ConfigFactory.parseMap(overrides, "command line").withFallback(config),
         file.getAbsoluteFile().getParentFile());
   }
 
-  /** One line for each error that an operator can mend; a stack trace for faults of the program. */
+  /** Prints one line for each error that an operator can correct; a stack trace for any other. */
   private static void printError(Exception exception) {
     if (exception instanceof InvalidSettingsException invalidSettings) {
       invalidSettings.messages().forEach(message -> System.err.println(ERROR_PREFIX + message));
--- a/src/main/java/fordridge/cli/CommandGroup.java
+++ b/src/main/java/fordridge/cli/CommandGroup.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command that only has sub-commands: called without one, it prints its usage. */
+/** A command that consists of subcommands; it prints its usage if called without one. */
 abstract class CommandGroup implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
--- a/src/main/java/fordridge/cli/ConstraintsCommand.java
+++ b/src/main/java/fordridge/cli/ConstraintsCommand.java
@@ -15,10 +15,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code constraints}: checks the tenants' constraints, and prints them in their normal form. */
+/** {@code constraints}: validates tenants' constraints, and prints them in normal form. */
 @Command(
     name = "constraints",
-    description = "Checks a set of tenants' constraints and prints it in normal form.",
+    description = "Validates tenants' constraints and prints them in normal form.",
     mixinStandardHelpOptions = true)
 final class ConstraintsCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE")
@@ -27,7 +27,7 @@
   @Option(
       names = "--config",
       paramLabel = "FILE",
-      description = "Settings: names, and the list's machines, are checked against them.")
+      description = "Settings file; names and listed machines are checked against it.")
   private File config;
 
   @Override
--- a/src/main/java/fordridge/cli/CtlCommand.java
+++ b/src/main/java/fordridge/cli/CtlCommand.java
@@ -2,10 +2,10 @@
 
 import picocli.CommandLine.Command;
 
-/** {@code ctl}: what operators do to the store, and ask of a running scheduler. */
+/** {@code ctl}: operators' commands on the records in etcd and on a running scheduler. */
 @Command(
     name = "ctl",
-    description = "Reads and changes the store of machines and settings.",
+    description = "Reads and changes machines and shared settings in etcd.",
     mixinStandardHelpOptions = true,
     subcommands = {
       CtlMachinesCommand.class,
--- a/src/main/java/fordridge/cli/CtlDrainCommand.java
+++ b/src/main/java/fordridge/cli/CtlDrainCommand.java
@@ -12,7 +12,7 @@
 /** {@code ctl drain}: drains a machine. */
 @Command(
     name = "drain",
-    description = "Drains a machine: schedulers send it nothing new.",
+    description = "Drains a machine: schedulers stop placing VMs on it.",
     mixinStandardHelpOptions = true)
 final class CtlDrainCommand implements Callable<Integer> {
   @Mixin private EtcdOptions etcd;
@@ -20,7 +20,7 @@
   @Parameters(paramLabel = "MACHINE")
   private String machine;
 
-  @Option(names = "--reason", required = true, description = "Why, for other operators.")
+  @Option(names = "--reason", required = true, description = "Reason, shown to other operators.")
   private String reason;
 
   @Override
--- a/src/main/java/fordridge/cli/CtlExplainCommand.java
+++ b/src/main/java/fordridge/cli/CtlExplainCommand.java
@@ -16,10 +16,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code ctl explain}: why a running scheduler may or may not place VMs on each machine. */
+/** {@code ctl explain}: which machines the constraints in effect allow for a VM, and why. */
 @Command(
     name = "explain",
-    description = "Prints which machines the constraints in force allow for a VM.",
+    description = "Prints which machines the constraints in effect allow for a VM.",
     mixinStandardHelpOptions = true)
 final class CtlExplainCommand implements Callable<Integer> {
   private static final int MAX_MESSAGE_BYTES = 64 << 20;
@@ -40,7 +40,7 @@
   @Option(
       names = "--vm",
       paramLabel = "CLIENT/VM",
-      description = "A VM that runs, in place of the three above.")
+      description = "A running VM, instead of customer, flavour and service.")
   private String vm = "";
 
   @Override
@@ -69,7 +69,7 @@
                   .setVm(vm)
                   .build());
     } catch (StatusRuntimeException e) {
-      // Without the cause, which would be printed a second time.
+      // The cause is omitted, as its status is already in the message.
       throw new IOException("placer at " + scheduler + ": " + e.getStatus());
     } finally {
       channel.shutdownNow();
@@ -77,20 +77,21 @@
   }
 
   private void print(ExplainReply reply) {
-    System.out.println("rules of version " + reply.getVersion());
+    System.out.println("constraints version " + reply.getVersion());
     if (!reply.getRunsOn().isEmpty()) {
       System.out.println(vm + " runs on " + reply.getRunsOn());
     }
     reply.getSpotsList().forEach(CtlExplainCommand::printMachine);
-    reply.getMisfitsList().forEach(misfit -> printMisplaced(misfit, " against "));
+    reply.getMisfitsList().forEach(misfit -> printMisplaced(misfit, " in violation of: "));
     reply
         .getStrayedList()
-        .forEach(strayed -> printMisplaced(strayed, " for want of a better place then: "));
+        .forEach(
+            strayed -> printMisplaced(strayed, " although another machine would now satisfy: "));
   }
 
   private static void printMachine(Spot machine) {
     String preference =
-        machine.getUnfit() > 0 ? "against preferences of weight " + machine.getUnfit() : "";
+        machine.getUnfit() > 0 ? "violates preferences of weight " + machine.getUnfit() : "";
     System.out.printf(
         Locale.ROOT,
         "%-24s %-4s %s%n",
--- a/src/main/java/fordridge/cli/CtlMachinesCommand.java
+++ b/src/main/java/fordridge/cli/CtlMachinesCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** {@code ctl machines}: the machines of the store as a table or as JSON lines. */
+/** {@code ctl machines}: lists the machines in etcd as a table or as JSON lines. */
 @Command(name = "machines", description = "Lists the machines.", mixinStandardHelpOptions = true)
 final class CtlMachinesCommand implements Callable<Integer> {
   private static final JsonFactory JSON = new JsonFactory();
--- a/src/main/java/fordridge/cli/CtlTermsCommand.java
+++ b/src/main/java/fordridge/cli/CtlTermsCommand.java
@@ -9,14 +9,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code ctl terms}: the settings that all schedulers share. */
+/** {@code ctl terms}: reads and writes the settings that all schedulers share. */
 @Command(
     name = "terms",
     description = "Reads and writes shared settings.",
     mixinStandardHelpOptions = true,
     subcommands = {CtlTermsCommand.Get.class, CtlTermsCommand.Put.class})
 final class CtlTermsCommand extends CommandGroup {
-  /** {@code ctl terms get}. */
+  /** {@code ctl terms get}: prints all shared settings. */
   @Command(
       name = "get",
       description = "Prints all settings with their revisions.",
@@ -35,10 +35,10 @@
     }
   }
 
-  /** {@code ctl terms put}. */
+  /** {@code ctl terms put}: writes a shared setting if it is still at a given revision. */
   @Command(
       name = "put",
-      description = "Writes a setting that is still at the revision given.",
+      description = "Writes a setting if it is still at the given revision.",
       mixinStandardHelpOptions = true)
   static final class Put implements Callable<Integer> {
     @Mixin private EtcdOptions etcd;
@@ -53,7 +53,7 @@
         names = "--at",
         required = true,
         paramLabel = "REVISION",
-        description = "The revision that get showed; 0 for a new one.")
+        description = "Revision as printed by get; 0 for a new setting.")
     private long revision;
 
     @Override
--- a/src/main/java/fordridge/cli/CtlUndrainCommand.java
+++ b/src/main/java/fordridge/cli/CtlUndrainCommand.java
@@ -21,7 +21,7 @@
   @Override
   public Integer call() throws IOException {
     try (EtcdAdmin admin = etcd.connect()) {
-      System.out.println(machine + " is used again from revision " + admin.undrain(machine));
+      System.out.println(machine + " takes new VMs again from revision " + admin.undrain(machine));
     }
     return ExitCode.OK;
   }
--- a/src/main/java/fordridge/cli/DrillCommand.java
+++ b/src/main/java/fordridge/cli/DrillCommand.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** {@code drill}: the scheduler on the wire of the simulator. */
+/** {@code drill}: runs the scheduler for a simulator, over standard input and output. */
 @Command(
     name = "drill",
-    description = "Decides on the simulator's wire, standard input to standard output.",
+    description = "Schedules for a simulator that talks over standard input and output.",
     mixinStandardHelpOptions = true)
 final class DrillCommand implements Callable<Integer> {
   @Override
--- a/src/main/java/fordridge/cli/EmulatorCommand.java
+++ b/src/main/java/fordridge/cli/EmulatorCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code rig}: emulated clients, machines and etcd, and the checker of invariants. */
+/** {@code rig}: emulates clients, machines and etcd, and checks the scheduler's invariants. */
 @Command(
     name = "rig",
     description = "Emulates machines, clients and etcd, and checks invariants.",
@@ -32,28 +32,28 @@
     return areInvariantsKept ? ExitCode.OK : ExitCode.FAILED;
   }
 
-  /** {@code rig day}: runs a scenario. */
+  /** {@code rig day}: runs a scenario against real schedulers. */
   @Command(
       name = "day",
       description = "Runs a scenario against real schedulers and checks the invariants.",
       mixinStandardHelpOptions = true)
   static final class Day implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "The scenario, in HOCON.")
-    private File script;
+    private File scenarioFile;
 
     @Option(
         names = "--out",
         paramLabel = "DIR",
-        description = "Where recording and logs go (default: ${DEFAULT-VALUE}).")
-    private File out = new File("target/day");
+        description = "Directory of the recording and the logs (default: ${DEFAULT-VALUE}).")
+    private File outputDirectory = new File("target/day");
 
     @Option(names = "--set", paramLabel = "KEY=VALUE", description = "Changes a scenario key.")
-    private final Map<String, String> changes = new HashMap<>();
+    private final Map<String, String> overrides = new HashMap<>();
 
     @Override
     public Integer call() throws Exception {
       Logging.configure("plain", "warn");
-      Scenario.Outcome outcome = Scenario.run(script, changes, out, System.out);
+      Scenario.Outcome outcome = Scenario.run(scenarioFile, overrides, outputDirectory, System.out);
       System.out.println();
       System.out.print(outcome.table());
       System.out.println();
@@ -63,38 +63,38 @@
     }
   }
 
-  /** {@code rig climb}: runs a scenario at rising request rates. */
+  /** {@code rig climb}: runs a scenario at increasing request rates. */
   @Command(
       name = "climb",
-      description = "Runs a scenario at rising rates, until too few VMs start in time.",
+      description = "Runs a scenario at increasing rates until too few VMs start in time.",
       mixinStandardHelpOptions = true)
   static final class Climb implements Callable<Integer> {
     private static final String RATE_KEY = "owners.rate";
 
     @Parameters(paramLabel = "FILE", description = "The scenario, in HOCON.")
-    private File script;
+    private File scenarioFile;
 
     @Option(
         names = "--rates",
         required = true,
         split = ",",
         paramLabel = "N,...",
-        description = "VMs a second.")
+        description = "Requested VMs per second.")
     private double[] rates;
 
     @Option(
         names = "--least",
-        description = "Ends below this share in time (default: ${DEFAULT-VALUE}).")
+        description = "Stops below this share of VMs started in time (default: ${DEFAULT-VALUE}).")
     private double minInTimeShare = 0.9;
 
     @Option(
         names = "--out",
         paramLabel = "DIR",
-        description = "Where recordings go (default: ${DEFAULT-VALUE}).")
-    private File out = new File("target/climb");
+        description = "Directory of the recordings (default: ${DEFAULT-VALUE}).")
+    private File outputDirectory = new File("target/climb");
 
     @Option(names = "--set", paramLabel = "KEY=VALUE", description = "Changes a scenario key.")
-    private final Map<String, String> changes = new HashMap<>();
+    private final Map<String, String> overrides = new HashMap<>();
 
     @Override
     public Integer call() throws Exception {
@@ -115,11 +115,11 @@
     }
 
     private Scenario.Outcome runAt(double rate) throws Exception {
-      Map<String, Object> changesWithRate = new HashMap<>(changes);
-      changesWithRate.put(RATE_KEY, rate);
-      try (PrintStream silent =
+      Map<String, Object> overridesWithRate = new HashMap<>(overrides);
+      overridesWithRate.put(RATE_KEY, rate);
+      try (PrintStream discardedOutput =
           new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8)) {
-        return Scenario.run(script, changesWithRate, out, silent);
+        return Scenario.run(scenarioFile, overridesWithRate, outputDirectory, discardedOutput);
       }
     }
 
@@ -153,16 +153,20 @@
     }
   }
 
-  /** {@code rig watch}: measures the watch of the machine list. */
+  /** {@code rig watch}: measures the cost of watching the machine list in etcd. */
   @Command(
       name = "watch",
-      description = "Measures what watching the emulated etcd costs.",
+      description = "Measures the cost of watching the emulated etcd.",
       mixinStandardHelpOptions = true)
   static final class Watch implements Callable<Integer> {
-    @Option(names = "--machines", split = ",", paramLabel = "N,...", description = "Sizes.")
+    @Option(
+        names = "--machines",
+        split = ",",
+        paramLabel = "N,...",
+        description = "Numbers of machines.")
     private int[] machines = {100, 1000, 10000};
 
-    @Option(names = "--lists", description = "Watching lists (default: ${DEFAULT-VALUE}).")
+    @Option(names = "--lists", description = "Number of watchers (default: ${DEFAULT-VALUE}).")
     private int lists = 4;
 
     @Override
--- a/src/main/java/fordridge/cli/EtcdOptions.java
+++ b/src/main/java/fordridge/cli/EtcdOptions.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import picocli.CommandLine.Option;
 
-/** Options of all commands that read or change the store. */
+/** Options of the commands that read or change records in etcd. */
 final class EtcdOptions {
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
 
@@ -15,7 +15,7 @@
       required = true,
       split = ",",
       paramLabel = "HOST:PORT,...",
-      description = "Endpoints, tried in turn.")
+      description = "Endpoints, tried in order.")
   private List<String> endpoints;
 
   @Option(
@@ -23,7 +23,7 @@
       description = "Prefix of the cluster's records (default: ${DEFAULT-VALUE}).")
   private String prefix = "/fordridge";
 
-  @Option(names = "--json", description = "JSON lines in place of a table.")
+  @Option(names = "--json", description = "Print JSON lines instead of a table.")
   private boolean isJson;
 
   boolean isJson() {
--- a/src/main/java/fordridge/cli/PlacerSubcommand.java
+++ b/src/main/java/fordridge/cli/PlacerSubcommand.java
@@ -12,29 +12,29 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code placer}: runs schedulers with their gRPC protocol until SIGTERM. */
+/** {@code placer}: runs scheduler instances that serve the gRPC protocol, until SIGTERM. */
 @Command(
     name = "placer",
-    description = "Serves clients and places their VMs.",
+    description = "Serves clients over gRPC and places their VMs.",
     mixinStandardHelpOptions = true)
 final class PlacerSubcommand implements Callable<Integer> {
   @Option(
       names = "--config",
       required = true,
       paramLabel = "FILE",
-      description = "Settings, in HOCON.")
+      description = "Settings file, in HOCON.")
   private File config;
 
   @Option(
       names = "--placers",
       paramLabel = "N",
-      description = "Instances in this process (placer.count).")
+      description = "Number of instances in this process (placer.count).")
   private Integer instances;
 
   @Option(
       names = "--ports-file",
       paramLabel = "FILE",
-      description = "Where to write each instance's name and port once all listen.")
+      description = "File to write with each instance's name and port, once all listen.")
   private File portsFile;
 
   @Override
@@ -45,7 +45,7 @@
     if (portsFile != null) {
       writePorts(schedulers);
     }
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> stopAndHalt(schedulers), "stop"));
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDownAndHalt(schedulers), "stop"));
     new CountDownLatch(1).await();
     return ExitCode.OK;
   }
@@ -54,22 +54,22 @@
     return instances == null ? Map.of() : Map.of("placer.count", instances);
   }
 
-  /** Writes a file of another name and renames it, so that nobody reads half of it. */
+  /** Writes a temporary file and renames it, so that readers never see a partial file. */
   private void writePorts(PlacerCommand schedulers) throws IOException {
-    StringBuilder text = new StringBuilder();
+    StringBuilder content = new StringBuilder();
     for (int i = 0; i < schedulers.instanceCount(); i++) {
-      text.append(schedulers.name(i)).append(' ').append(schedulers.port(i)).append('\n');
+      content.append(schedulers.name(i)).append(' ').append(schedulers.port(i)).append('\n');
     }
     if (schedulers.metricsPort().isPresent()) {
-      text.append("metrics ").append(schedulers.metricsPort().getAsInt()).append('\n');
+      content.append("metrics ").append(schedulers.metricsPort().getAsInt()).append('\n');
     }
-    File newFile = new File(portsFile.getPath() + ".next");
-    Files.writeString(newFile.toPath(), text.toString());
-    Files.move(newFile.toPath(), portsFile.toPath());
+    File temporaryFile = new File(portsFile.getPath() + ".next");
+    Files.writeString(temporaryFile.toPath(), content.toString());
+    Files.move(temporaryFile.toPath(), portsFile.toPath());
   }
 
-  /** Ends the process with the exit code of the graceful shutdown, not with that of the signal. */
-  private static void stopAndHalt(PlacerCommand schedulers) {
+  /** Ends the process with the exit code of the graceful shutdown instead of that of the signal. */
+  private static void shutDownAndHalt(PlacerCommand schedulers) {
     int exitCode;
     try {
       exitCode = schedulers.shutdown() ? ExitCode.OK : ExitCode.FAILED;
--- a/src/main/java/fordridge/cli/ServeSubcommand.java
+++ b/src/main/java/fordridge/cli/ServeSubcommand.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** {@code serve}: the scheduler with its JSON protocol. */
+/** {@code serve}: runs the scheduler that serves the JSON lines protocol. */
 @Command(
     name = "serve",
-    description = "Schedules for clients on JSON lines, configured by the file in LB_CONFIG.",
+    description = "Serves clients over JSON lines, configured by the file in LB_CONFIG.",
     mixinStandardHelpOptions = true)
 final class ServeSubcommand implements Callable<Integer> {
   @Override
--- a/src/main/java/fordridge/cli/VersionCommand.java
+++ b/src/main/java/fordridge/cli/VersionCommand.java
@@ -7,7 +7,7 @@
 /** {@code version}: prints the version of the packaged program. */
 @Command(name = "version", description = "Prints the version.", mixinStandardHelpOptions = true)
 final class VersionCommand implements Callable<Integer> {
-  /** The version as it is in the program's manifest. */
+  /** Provides the implementation version of the jar's manifest. */
   static final class Provider implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/src/main/java/fordridge/discovery/MachineListFile.java
+++ b/src/main/java/fordridge/discovery/MachineListFile.java
@@ -28,10 +28,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine list in a HOCON file that is polled for changes on a thread of its own.
+ * Machine list source that polls a HOCON file for changes on its own thread.
  *
- * <p>A file that cannot be read leaves the last good list in force, and is logged once for each of
- * its states. Writers replace it by renaming a new file over it.
+ * <p>If the file is invalid, the last valid list stays in effect, and the errors are logged once
+ * for each version of the file. Writers should replace the file atomically by renaming a new file.
  */
 public final class MachineListFile implements MachineListSource {
   private static final Logger LOG = LoggerFactory.getLogger(MachineListFile.class);
@@ -43,9 +43,9 @@
   private static final int MAX_CELL = 1_000_000;
   private static final double MAX_FREE_CORES = 1e6;
   private static final double MAX_FREE_MEMORY = 1e9;
-  private static final String UNREADABLE_STATE = "unreadable";
+  private static final String UNREADABLE_FINGERPRINT = "unreadable";
 
-  /** A machine's state as it is written in the file. */
+  /** The state of a machine in the file. */
   private enum ListedState implements ConfigWord {
     LIVE("live", Lifecycle.LIVE),
     DRAINING("draining", Lifecycle.DRAINING),
@@ -69,30 +69,31 @@
   private final DeploymentSettings deployment;
   private final List<Consumer<Update>> listeners = new CopyOnWriteArrayList<>();
   private final ScheduledExecutorService poller =
-      Executors.newSingleThreadScheduledExecutor(MachineListFile::daemon);
+      Executors.newSingleThreadScheduledExecutor(MachineListFile::newDaemonThread);
   private volatile Update latest;
-  private String lastFileState;
+  private String lastFingerprint;
 
   /**
-   * Reads the file, and polls it until {@link #close()}.
+   * Reads the file, and then polls it until {@link #close()}.
    *
-   * @throws InvalidSettingsException if the file cannot be read now
+   * @throws InvalidSettingsException if the file is missing or invalid
    */
   public MachineListFile(File file, DeploymentSettings deployment) throws InvalidSettingsException {
     this.file = file;
     this.deployment = deployment;
-    lastFileState = fileState();
+    lastFingerprint = fileFingerprint();
     latest = read(file, deployment, 1);
     startPolling(deployment.machineList().pollInterval().toMillis());
   }
 
-  private static Thread daemon(Runnable task) {
+  private static Thread newDaemonThread(Runnable task) {
     Thread thread = new Thread(task, THREAD_NAME);
     thread.setDaemon(true);
     return thread;
   }
 
-  @SuppressWarnings("FutureReturnValueIgnored") // poll() throws nothing, and ends with the poller.
+  @SuppressWarnings(
+      "FutureReturnValueIgnored") // poll() does not throw; it runs until the poller is shut down.
   private void startPolling(long intervalMillis) {
     poller.scheduleWithFixedDelay(
         this::poll, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
@@ -100,11 +101,11 @@
 
   private void poll() {
     try {
-      String fileState = fileState();
-      if (fileState.equals(lastFileState)) {
+      String fingerprint = fileFingerprint();
+      if (fingerprint.equals(lastFingerprint)) {
         return;
       }
-      lastFileState = fileState;
+      lastFingerprint = fingerprint;
       latest = read(file, deployment, latest.version() + 1);
       for (Consumer<Update> listener : listeners) {
         listener.accept(latest);
@@ -112,14 +113,16 @@
     } catch (InvalidSettingsException e) {
       LOG.atError()
           .addKeyValue("list", file.getName())
-          .log("machine list rejected, the last one stays: {}", String.join("; ", e.messages()));
+          .log(
+              "machine list file rejected, keeping the last valid list: {}",
+              String.join("; ", e.messages()));
     } catch (RuntimeException e) {
-      LOG.error("machine list rejected, the last one stays", e);
+      LOG.error("machine list file rejected, keeping the last valid list", e);
     }
   }
 
-  /** What changes whenever the file is replaced or written. */
-  private String fileState() {
+  /** Returns a string that changes whenever the file is replaced or written. */
+  private String fileFingerprint() {
     try {
       BasicFileAttributes attributes =
           Files.readAttributes(file.toPath(), BasicFileAttributes.class);
@@ -129,16 +132,16 @@
           + " "
           + attributes.fileKey();
     } catch (IOException e) {
-      // Reading the file will say why.
-      return UNREADABLE_STATE;
+      // The following attempt to read the file reports the error.
+      return UNREADABLE_FINGERPRINT;
     }
   }
 
   /**
-   * Reads and checks a file.
+   * Reads and checks a machine list file.
    *
-   * @param version version of the list returned
-   * @throws InvalidSettingsException with every error in the file
+   * @param version version of the returned list
+   * @throws InvalidSettingsException with all errors in the file, if there are any
    */
   public static Update read(File file, DeploymentSettings deployment, long version)
       throws InvalidSettingsException {
@@ -146,7 +149,7 @@
     List<SettingError> errors = new ArrayList<>();
     ConfigReader reader = new ConfigReader(config, "", errors);
     if (reader.integer("version", 1, MAX_FORMAT_VERSION) != FORMAT_VERSION) {
-      reader.reject("version", "another", String.valueOf(FORMAT_VERSION));
+      reader.reject("version", "another version", String.valueOf(FORMAT_VERSION));
     }
     List<Entry> entries = new ArrayList<>();
     Set<String> names = new HashSet<>();
@@ -168,9 +171,9 @@
         readKind(machine, kinds),
         machine.has("zone") ? machine.string("zone", MAX_NAME_LENGTH) : "",
         machine.has("cell") ? machine.integer("cell", 0, MAX_CELL) : 0,
-        machine.constant("state", ListedState.values()).lifecycle,
-        readFree(machine, "free_cores", MAX_FREE_CORES),
-        readFree(machine, "free_memory", MAX_FREE_MEMORY),
+        machine.enumConstant("state", ListedState.values()).lifecycle,
+        readFreeCapacity(machine, "free_cores", MAX_FREE_CORES),
+        readFreeCapacity(machine, "free_memory", MAX_FREE_MEMORY),
         readStartedAt(machine));
   }
 
@@ -196,14 +199,16 @@
     String kind = machine.string("kind", MAX_NAME_LENGTH);
     if (!kinds.contains(kind)) {
       machine.reject(
-          "kind", "'" + kind + "'", "a kind of the settings: " + String.join(", ", kinds));
+          "kind",
+          "'" + kind + "'",
+          "a kind listed in kinds of the settings: " + String.join(", ", kinds));
     }
     return kind;
   }
 
-  /** Free capacity may be negative: more may be reserved than there is. */
-  private static double readFree(ConfigReader machine, String key, double most) {
-    return machine.has(key) ? machine.decimal(key, -most, most) : 0;
+  /** Reads a free capacity, which is negative if more is reserved than the machine has. */
+  private static double readFreeCapacity(ConfigReader machine, String key, double max) {
+    return machine.has(key) ? machine.decimal(key, -max, max) : 0;
   }
 
   private static Instant readStartedAt(ConfigReader machine) {
@@ -214,7 +219,8 @@
     try {
       return Instant.parse(started);
     } catch (DateTimeParseException e) {
-      machine.reject("started", "'" + started + "'", "an instant, as 2026-01-31T12:00:00Z");
+      machine.reject(
+          "started", "'" + started + "'", "an ISO 8601 instant, such as 2026-01-31T12:00:00Z");
       return null;
     }
   }
--- a/src/main/java/fordridge/discovery/MachineListSource.java
+++ b/src/main/java/fordridge/discovery/MachineListSource.java
@@ -8,18 +8,19 @@
 import java.util.function.Consumer;
 
 /**
- * A source of the machine list: a file, or etcd.
+ * A source of the machine list, such as a file or etcd.
  *
- * <p>All methods may be called from any thread.
+ * <p>Implementations are thread-safe.
  */
 public interface MachineListSource extends AutoCloseable {
   /**
-   * One machine.
+   * One machine in the list.
    *
-   * @param cell number of the failure domain within its zone
-   * @param freeCores cores that nobody has reserved; the same for {@code freeMemory}
-   * @param startedAt when the machine started, null for long ago; it changes only when the machine
-   *     starts anew
+   * @param cell number of the cell, a failure domain within the zone
+   * @param freeCores cores that are not reserved
+   * @param freeMemory memory that is not reserved
+   * @param startedAt start time of the machine, null if it is unknown or long ago; it changes only
+   *     when the machine restarts
    */
   record Entry(
       String name,
@@ -33,30 +34,30 @@
       Instant startedAt) {}
 
   /**
-   * A new version of the list.
+   * A new version of the machine list.
    *
-   * @param version grows with each update
-   * @param isSnapshot whether the entries are the whole list, so that a machine that is not among
-   *     them is gone; otherwise they are the changed ones
-   * @param isStale whether the list may be older than its source allows
+   * @param version increases with each update
+   * @param isSnapshot whether the entries are the complete list, so that machines without an entry
+   *     are gone; otherwise they are only the changed machines
+   * @param isStale whether the source cannot confirm that the list is current
    */
   record Update(long version, boolean isSnapshot, boolean isStale, List<Entry> entries) {}
 
-  /** The latest version, as a snapshot. */
+  /** Returns the latest version of the list, as a snapshot. */
   Update latest();
 
   /**
-   * Passes the latest snapshot and then each update to a listener, on a thread of the source. The
-   * listener must not block.
+   * Adds a listener, which gets the latest snapshot and then each update, on a thread of the
+   * source. The listener must not block.
    */
   void watch(Consumer<Update> listener);
 
-  /** How many schedulers share the cluster; 0 where the source does not know. */
+  /** Returns the number of schedulers that share the cluster; 0 if the source does not know it. */
   default int schedulerCount() {
     return 0;
   }
 
-  /** The text of a setting that the source holds for all schedulers, by name. */
+  /** Returns the text of a setting that the source stores for all schedulers. */
   default Optional<String> sharedSetting(String name) {
     return Optional.empty();
   }
--- a/src/main/java/fordridge/etcd/EtcdAdmin.java
+++ b/src/main/java/fordridge/etcd/EtcdAdmin.java
@@ -27,19 +27,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads and changes the store for operators; a change takes effect only if the record still is as
- * it was read. Calls block; not safe for use by several threads.
+ * Reads and changes the records in etcd on behalf of operators.
+ *
+ * <p>A change is applied only if the record has not changed since it was read. Calls block; not
+ * thread-safe.
  */
 public final class EtcdAdmin implements AutoCloseable {
   private static final int PAGE_SIZE = 500;
   private static final long LATEST_REVISION = 0;
-  private static final long NOT_CREATED = 0;
+  private static final long ABSENT_REVISION = 0;
 
   /**
-   * One machine as it is in the store.
+   * The record and drain of one machine in the store.
    *
    * @param state {@code live}, {@code draining} or {@code unreadable}
-   * @param note why it drains, or what is wrong with its record
+   * @param note why the machine drains, or why its record is unreadable
    */
   public record MachineRow(
       String name,
@@ -56,7 +58,7 @@
   /** A setting that all schedulers share, with the revision of its last change. */
   public record SharedSetting(String name, long revision, String text) {}
 
-  /** A record that changed between reading and writing it, or is not there. */
+  /** Thrown if a record does not exist, or was changed between reading and writing it. */
   public static final class ConcurrentUpdateException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -66,7 +68,7 @@
   }
 
   private interface Call<T> {
-    T on(KVGrpc.KVBlockingStub stub);
+    T execute(KVGrpc.KVBlockingStub stub);
   }
 
   private final StoreKeys keys;
@@ -74,14 +76,14 @@
   private final Duration callTimeout;
   private ManagedChannel channel;
 
-  /** A client that connects with the first call; the endpoints are tried in turn. */
+  /** Creates a client that connects on the first call; the endpoints are tried in order. */
   public EtcdAdmin(List<String> endpoints, String prefix, Duration callTimeout) {
     this.endpoints = List.copyOf(endpoints);
     this.keys = new StoreKeys(prefix);
     this.callTimeout = callTimeout;
   }
 
-  /** All machines of the store, by name. */
+  /** Returns all machines in the store, sorted by name. */
   public List<MachineRow> machines() throws IOException {
     Map<String, KeyValue> drains = new HashMap<>();
     List<StoreRecord> machines = new ArrayList<>();
@@ -93,10 +95,10 @@
         machines.add(record);
       }
     }
-    return machines.stream().map(record -> row(record, drains.get(record.name()))).toList();
+    return machines.stream().map(record -> machineRow(record, drains.get(record.name()))).toList();
   }
 
-  private static MachineRow row(StoreRecord record, KeyValue drain) {
+  private static MachineRow machineRow(StoreRecord record, KeyValue drain) {
     if (record.value() instanceof MachineRecord machine) {
       return new MachineRow(
           record.name(),
@@ -110,7 +112,8 @@
           record.modRevision(),
           drain == null ? "" : describeDrain(drain));
     }
-    String problem = record.value() instanceof StoreRecord.Unreadable bad ? bad.reason() : "";
+    String problem =
+        record.value() instanceof StoreRecord.Unreadable unreadable ? unreadable.reason() : "";
     return new MachineRow(
         record.name(), "unreadable", "", "", 0, 0, 0, "", record.modRevision(), problem);
   }
@@ -118,34 +121,35 @@
   private static String describeDrain(KeyValue drain) {
     try {
       StoredJson json = StoredJson.parse(drain.getValue().toStringUtf8());
-      String since = json.has("since") ? " since " + json.describe("since") : "";
-      return json.describe("reason") + since;
+      String since = json.has("since") ? " since " + json.asText("since") : "";
+      return json.asText("reason") + since;
     } catch (RecordFormatException e) {
       return "unreadable drain: " + e.getMessage();
     }
   }
 
   /**
-   * Drains a machine; returns the revision of the change.
+   * Drains a machine, and returns the revision of the change.
    *
-   * @throws ConcurrentUpdateException if there is no such machine, or it drains already
+   * @throws ConcurrentUpdateException if the machine does not exist, or already drains
    */
   public long drain(String machine, String reason, Instant since) throws IOException {
     if (read(keys.machine(machine)) == null) {
       throw new ConcurrentUpdateException("no machine '" + machine + "' in the store");
     }
     String key = keys.drain(machine);
-    return commit(
+    return commitIfUnchanged(
         key,
-        NOT_CREATED,
+        ABSENT_REVISION,
         put(key, StoreRecordCodec.encodeDrain(reason, since)),
         "machine '" + machine + "' drains already");
   }
 
   /**
-   * Ends a machine's drain; returns the revision of the change.
+   * Ends the drain of a machine, and returns the revision of the change.
    *
-   * @throws ConcurrentUpdateException if it does not drain, or its drain changed meanwhile
+   * @throws ConcurrentUpdateException if the machine does not drain, or its drain record was
+   *     changed concurrently
    */
   public long undrain(String machine) throws IOException {
     String key = keys.drain(machine);
@@ -153,14 +157,14 @@
     if (drain == null) {
       throw new ConcurrentUpdateException("machine '" + machine + "' does not drain");
     }
-    return commit(
+    return commitIfUnchanged(
         key,
         drain.getModRevision(),
         delete(key),
-        "the drain of '" + machine + "' was changed meanwhile");
+        "the drain of '" + machine + "' was changed concurrently");
   }
 
-  /** All settings that the schedulers share, by name. */
+  /** Returns all settings that the schedulers share, sorted by name. */
   public List<SharedSetting> sharedSettings() throws IOException {
     List<SharedSetting> settings = new ArrayList<>();
     for (KeyValue keyValue : readAll()) {
@@ -175,14 +179,14 @@
   }
 
   /**
-   * Writes a shared setting; returns the revision of the change.
+   * Writes a shared setting, and returns the revision of the change.
    *
-   * @param expectedRevision the setting's revision, 0 for a new one
-   * @throws ConcurrentUpdateException if it is not at that revision
+   * @param expectedRevision the current revision of the setting, 0 for a new one
+   * @throws ConcurrentUpdateException if the setting is not at that revision
    */
   public long putSharedSetting(String name, String text, long expectedRevision) throws IOException {
     String key = keys.sharedSetting(name);
-    return commit(
+    return commitIfUnchanged(
         key,
         expectedRevision,
         put(key, text),
@@ -227,8 +231,9 @@
         .build();
   }
 
-  /** Applies a change of a key if the key still is at the expected revision. */
-  private long commit(String key, long expectedRevision, RequestOp change, String conflict)
+  /** Applies a change of a key if the key is still at the expected revision. */
+  private long commitIfUnchanged(
+      String key, long expectedRevision, RequestOp change, String conflictMessage)
       throws IOException {
     ByteString keyBytes = EtcdRequests.bytes(key);
     TxnRequest transaction =
@@ -246,16 +251,19 @@
     TxnResponse response = call(store -> store.txn(transaction));
     if (!response.getSucceeded()) {
       RangeResponse current = response.getResponses(0).getResponseRange();
-      throw new ConcurrentUpdateException(conflict + " (it is at " + revisionOf(current) + ")");
+      throw new ConcurrentUpdateException(
+          conflictMessage + " (current: " + revisionOf(current) + ")");
     }
     return response.getHeader().getRevision();
   }
 
   private static String revisionOf(RangeResponse current) {
-    return current.getKvsCount() == 0 ? "none" : "revision " + current.getKvs(0).getModRevision();
+    return current.getKvsCount() == 0
+        ? "no record"
+        : "revision " + current.getKvs(0).getModRevision();
   }
 
-  /** Tries each endpoint in turn; the last one's error is reported with all their names. */
+  /** Tries the endpoints in order; if all fail, throws the error of the last one. */
   private <T> T call(Call<T> call) throws IOException {
     StatusRuntimeException lastFailure = null;
     for (String endpoint : endpoints) {
@@ -263,7 +271,7 @@
         channel = EtcdRequests.channelTo(endpoint).build();
       }
       try {
-        return call.on(
+        return call.execute(
             KVGrpc.newBlockingStub(channel)
                 .withDeadlineAfter(callTimeout.toMillis(), TimeUnit.MILLISECONDS));
       } catch (StatusRuntimeException e) {
@@ -272,7 +280,8 @@
         channel = null;
       }
     }
-    String reason = lastFailure == null ? "no endpoint" : lastFailure.getStatus().toString();
+    String reason =
+        lastFailure == null ? "no endpoint is configured" : lastFailure.getStatus().toString();
     throw new IOException("etcd at " + endpoints + ": " + reason);
   }
 
--- a/src/main/java/fordridge/etcd/EtcdMachineList.java
+++ b/src/main/java/fordridge/etcd/EtcdMachineList.java
@@ -31,11 +31,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine list from etcd: a snapshot at one revision, then a watch from the next revision on.
+ * Machine list source that reads a snapshot from etcd, then watches for changes from the next
+ * revision on.
  *
- * <p>A broken watch resumes at the last revision over another endpoint; a compacted one, or a store
- * that was restored, leads to a new snapshot. What the records mean is up to {@link
- * MachineListReplica}; this class connects it with the store, on one thread of its own.
+ * <p>A broken watch resumes at the last known revision through the next endpoint. If that revision
+ * was compacted, or the store was restored from a backup, a new snapshot is read. The records are
+ * interpreted by {@link MachineListReplica}, to which this class passes them on a single thread.
  */
 public final class EtcdMachineList implements MachineListSource {
   private static final Logger LOG = LoggerFactory.getLogger(EtcdMachineList.class);
@@ -43,7 +44,7 @@
   private static final int PROGRESS_REQUESTS_PER_SILENCE = 3;
   private static final Duration MIN_WATCHDOG_INTERVAL = Duration.ofMillis(5);
 
-  /** A resumed watch must confirm its progress within this many silence timeouts. */
+  /** A resumed watch must confirm progress within this multiple of the silence timeout. */
   private static final int RESUME_TIMEOUT_FACTOR = 2;
 
   private final EtcdSettings settings;
@@ -51,21 +52,21 @@
   private final StoreKeys keys;
   private final MachineListReplica replica;
   private final EndpointRotation endpoints;
-  private final SchedulerCount schedulers;
+  private final SchedulerCount activeSchedulers;
   private final MachineListPublisher publisher = new MachineListPublisher();
-  private final ConnectionScheduler thread =
-      new ConnectionScheduler(THREAD_NAME, failure -> connectionFailed(failure.toString()));
-  private final SnapshotReader snapshots;
+  private final ConnectionExecutor executor =
+      new ConnectionExecutor(THREAD_NAME, failure -> connectionFailed(failure.toString()));
+  private final SnapshotReader snapshotReader;
   private final long createdAtNanos = System.nanoTime();
   private final CompletableFuture<Void> firstSnapshot = new CompletableFuture<>();
 
-  // Confined to the thread.
-  private ConnectionScheduler.Scope connection;
+  // Confined to the thread of the executor.
+  private ConnectionExecutor.Scope connection;
   private ManagedChannel channel;
   private WatchStream watch;
   private SchedulerRegistration registration;
 
-  // Written on the thread, read from any.
+  // Written on the thread of the executor, read on any thread.
   private volatile String lastFailure = "";
   private volatile int schedulerCount;
   private volatile Map<String, String> sharedSettings = Map.of();
@@ -73,9 +74,9 @@
   /**
    * Connects to the store and waits for the first snapshot.
    *
-   * @param schedulerName name of this scheduler's registration
-   * @param seed seed of the choice of endpoints
-   * @throws IOException if no snapshot came within {@code etcd.start_within}
+   * @param schedulerName name under which this scheduler registers
+   * @param seed seed of the random choice of endpoints and delays
+   * @throws IOException if no snapshot was read within {@code etcd.start_within}
    */
   public EtcdMachineList(DeploymentSettings deployment, String schedulerName, long seed)
       throws IOException {
@@ -84,16 +85,16 @@
     keys = new StoreKeys(settings.prefix());
     replica = new MachineListReplica(keys, settings.silenceTimeout());
     endpoints = new EndpointRotation(settings.endpoints().size(), new SeededRandom(seed));
-    schedulers = new SchedulerCount(deployment.totalSchedulers(), settings.leaseTtl());
-    schedulerCount = schedulers.count();
-    snapshots =
+    activeSchedulers = new SchedulerCount(deployment.totalSchedulers(), settings.leaseTtl());
+    schedulerCount = activeSchedulers.count();
+    snapshotReader =
         new SnapshotReader(
             keys.commonPrefix(),
             settings.snapshotPageSize(),
             settings.callTimeout(),
             new SnapshotListener());
-    thread.execute(() -> thread.newScope().execute(this::connect));
-    thread.executeRepeatedly(this::checkLiveness, watchdogInterval());
+    executor.execute(() -> executor.newScope().execute(this::connect));
+    executor.executeRepeatedly(this::checkLiveness, watchdogInterval());
     awaitFirstSnapshot();
   }
 
@@ -110,7 +111,7 @@
       close();
       String reason = lastFailure.isEmpty() ? "" : ": " + lastFailure;
       throw new IOException(
-          "no list of machines from etcd at "
+          "no machine list from etcd at "
               + settings.endpoints()
               + " under "
               + settings.prefix()
@@ -121,7 +122,7 @@
     } catch (InterruptedException e) {
       close();
       Thread.currentThread().interrupt();
-      throw new IOException("interrupted");
+      throw new IOException("interrupted while waiting for the first machine list from etcd");
     }
   }
 
@@ -130,12 +131,12 @@
   }
 
   private void connect() {
-    connection = thread.newScope();
+    connection = executor.newScope();
     channel = openChannel(settings.endpoints().get(endpoints.current()));
     if (replica.revision() > 0 && replica.syncState() == SyncState.STALE) {
       openWatch(replica.revision() + 1);
     } else {
-      snapshots.start(channel, connection);
+      snapshotReader.start(channel, connection);
     }
     register();
   }
@@ -177,13 +178,13 @@
   }
 
   private void connectionFailed(String reason) {
-    if (thread.isShutdown()) {
+    if (executor.isShutdown()) {
       return;
     }
     lastFailure = reason;
-    connection = thread.newScope();
+    connection = executor.newScope();
     replica.connectionLost();
-    schedulers.connectionLost();
+    activeSchedulers.connectionLost();
     closeWatch("failed");
     registration = null;
     if (channel != null) {
@@ -204,7 +205,7 @@
     }
   }
 
-  /** Loads snapshots into the replica. */
+  /** Applies snapshots to the replica. */
   private final class SnapshotListener implements SnapshotReader.Listener {
     @Override
     public void snapshotStarted(long clusterId, long revision) {
@@ -215,7 +216,7 @@
     public void snapshotPageReceived(List<KeyValue> records) {
       replica.snapshotPageReceived(
           records.stream().map(record -> StoreRecordCodec.decode(record, keys)).toList(), now());
-      // A drain does not wait for the pages behind it.
+      // Publish drains immediately instead of after the remaining pages.
       if (publisher.hasPublished()) {
         publishUpdates(false);
       }
@@ -228,7 +229,7 @@
       publishCurrent(true);
       if (publisher.isEmpty()) {
         LOG.warn(
-            "etcd: no machine under {}; every request is pending until there is one",
+            "etcd: no machines under {}; requests stay pending until one is registered",
             keys.commonPrefix());
       }
       firstSnapshot.complete(null);
@@ -244,7 +245,7 @@
   /** Applies the changes of the watch to the replica. */
   private final class WatchListener implements WatchStream.Listener {
     @Override
-    public boolean isExpected(ResponseHeader header) {
+    public boolean isKnownHistory(ResponseHeader header) {
       return header.getRevision() <= 0
           || (header.getRevision() >= replica.revision()
               && header.getClusterId() == replica.clusterId());
@@ -253,10 +254,10 @@
     @Override
     public void snapshotNeeded(WatchStream.SnapshotReason reason) {
       if (reason == WatchStream.SnapshotReason.COMPACTED) {
-        LOG.info("etcd: compacted past revision {}, taking a new snapshot", replica.revision());
+        LOG.info("etcd: revision {} is compacted; reading a new snapshot", replica.revision());
       }
       closeWatch(reason.name());
-      connection = thread.newScope();
+      connection = executor.newScope();
       replica.connectionLost();
       if (reason == WatchStream.SnapshotReason.COMPACTED) {
         publisher.publishStale();
@@ -264,7 +265,7 @@
       if (registration != null) {
         registration.stop();
       }
-      snapshots.start(channel, connection);
+      snapshotReader.start(channel, connection);
       register();
     }
 
@@ -310,23 +311,23 @@
     }
   }
 
-  /** Requests progress, and gives up a watch that does not confirm it in time. */
+  /** Requests a progress notification, and closes a connection that is silent for too long. */
   private void checkLiveness() {
     try {
       if (watch != null && replica.checkSilence(now())) {
-        connectionFailed("silent for " + settings.silenceTimeout().toMillis() + "ms");
+        connectionFailed("no response for " + settings.silenceTimeout().toMillis() + "ms");
         return;
       }
       if (watch != null) {
         watch.requestProgress();
       }
       if (watch != null && isResumeOverdue()) {
-        connectionFailed("a resumed watch confirms no progress");
+        connectionFailed("no progress notification on the resumed watch");
         return;
       }
-      countSchedulers();
+      updateSchedulerCount();
     } catch (RuntimeException e) {
-      LOG.error("etcd: the check of the connection failed", e);
+      LOG.error("etcd: liveness check of the connection failed", e);
       connectionFailed(e.toString());
     }
   }
@@ -334,17 +335,17 @@
   private boolean isResumeOverdue() {
     Duration timeout = settings.silenceTimeout().multipliedBy(RESUME_TIMEOUT_FACTOR);
     return replica.syncState() == SyncState.STALE
-        && now().minus(replica.lastHeardAt()).compareTo(timeout) > 0;
+        && now().minus(replica.lastInputAt()).compareTo(timeout) > 0;
   }
 
-  private void countSchedulers() {
+  private void updateSchedulerCount() {
     if (!settings.isRegistering() || replica.syncState() != SyncState.IN_SYNC) {
       return;
     }
     int before = schedulerCount;
-    int count = schedulers.registrationsCounted(replica.registeredSchedulers(), now());
+    int count = activeSchedulers.updateRegistrations(replica.registeredSchedulers(), now());
     if (count != before) {
-      LOG.info("etcd: {} schedulers share the cluster, {} before", count, before);
+      LOG.info("etcd: {} schedulers share the cluster, previously {}", count, before);
       schedulerCount = count;
     }
   }
@@ -354,7 +355,7 @@
     if (replica.takeSharedSettingsChanged()) {
       sharedSettings = replica.sharedSettings();
     }
-    countSchedulers();
+    updateSchedulerCount();
     publishUpdates(isSnapshot);
   }
 
@@ -370,7 +371,7 @@
 
   @Override
   public void watch(Consumer<Update> listener) {
-    thread.execute(() -> publisher.addListener(listener));
+    executor.execute(() -> publisher.addListener(listener));
   }
 
   @Override
@@ -383,20 +384,20 @@
     return Optional.ofNullable(sharedSettings.get(name));
   }
 
-  /** Snapshots started so far. */
+  /** The number of snapshots started so far. */
   public int snapshotCount() {
-    return snapshots.snapshotCount();
+    return snapshotReader.snapshotCount();
   }
 
   @Override
   public void close() {
-    thread.execute(
+    executor.execute(
         () -> {
-          connection = thread.newScope();
+          connection = executor.newScope();
           if (channel != null) {
             channel.shutdownNow();
           }
         });
-    thread.shutdown();
+    executor.shutdown();
   }
 }
--- a/src/main/java/fordridge/etcd/EtcdRequests.java
+++ b/src/main/java/fordridge/etcd/EtcdRequests.java
@@ -7,14 +7,14 @@
 import io.grpc.netty.NettyChannelBuilder;
 import java.nio.charset.StandardCharsets;
 
-/** Requests and channels that all clients of etcd need. */
+/** Builds channels and requests for the etcd clients. */
 final class EtcdRequests {
   private static final int MAX_MESSAGE_BYTES = 64 << 20;
   private static final ByteString ZERO_BYTE = ByteString.copyFrom(new byte[] {0});
 
   private EtcdRequests() {}
 
-  /** A channel without encryption to {@code host:port}. */
+  /** Returns the builder of an unencrypted channel to {@code host:port}. */
   static NettyChannelBuilder channelTo(String endpoint) {
     return NettyChannelBuilder.forAddress(HostAndPort.parse(endpoint))
         .usePlaintext()
@@ -25,7 +25,7 @@
     return ByteString.copyFromUtf8(text);
   }
 
-  /** The end of the range of all keys that begin with a prefix. */
+  /** Returns the exclusive end of the range of all keys that begin with a prefix. */
   static ByteString rangeEnd(String prefix) {
     byte[] end = prefix.getBytes(StandardCharsets.UTF_8);
     end[end.length - 1]++;
@@ -33,10 +33,10 @@
   }
 
   /**
-   * One page of all keys that begin with a prefix.
+   * Returns a request for one page of the keys that begin with a prefix.
    *
-   * @param from first key of the page
-   * @param revision revision to read at, 0 for the latest
+   * @param from lower bound of the keys of the page, inclusive
+   * @param revision revision to read at; 0 for the latest
    */
   static RangeRequest page(ByteString from, String prefix, int pageSize, long revision) {
     return RangeRequest.newBuilder()
@@ -47,7 +47,7 @@
         .build();
   }
 
-  /** The first key of the page after this one. */
+  /** Returns the lower bound of the keys of the next page. */
   static ByteString nextPage(RangeResponse page) {
     return page.getKvs(page.getKvsCount() - 1).getKey().concat(ZERO_BYTE);
   }
--- a/src/main/java/fordridge/etcd/MachineListPublisher.java
+++ b/src/main/java/fordridge/etcd/MachineListPublisher.java
@@ -15,54 +15,54 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps the latest machine list and passes each update to the listeners.
+ * Holds the latest machine list and notifies listeners of each update.
  *
- * <p>Updates are published on the client's thread alone; {@link #latest()} may be called from any.
+ * <p>Updates are published on the etcd client's thread only; {@link #latest()} is thread-safe.
  */
 final class MachineListPublisher {
   private final List<Consumer<Update>> listeners = new CopyOnWriteArrayList<>();
 
-  /** Guarded by itself, as are version and staleness. */
+  /** Entries by machine name; also the lock that guards all fields below. */
   private final Map<String, Entry> entries = new LinkedHashMap<>();
 
   private long version;
   private boolean isStale;
 
-  /** Passes the latest list and then each update to a listener. */
+  /** Adds a listener, which gets the latest list now and each later update. */
   void addListener(Consumer<Update> listener) {
     listeners.add(listener);
     listener.accept(latest());
   }
 
-  /** The latest list, as a snapshot. */
+  /** Returns the latest list, as a snapshot. */
   Update latest() {
     synchronized (entries) {
       return new Update(version, true, isStale, List.copyOf(entries.values()));
     }
   }
 
-  /** Whether a list was published. */
+  /** Whether a list has been published. */
   boolean hasPublished() {
     synchronized (entries) {
       return version > 0;
     }
   }
 
-  /** Whether the list has no machine. */
+  /** Whether the list has no machines. */
   boolean isEmpty() {
     synchronized (entries) {
       return entries.isEmpty();
     }
   }
 
-  /** The list is up to date from the next update on. */
+  /** Marks the list as current, starting with the next published update. */
   void markCurrent() {
     synchronized (entries) {
       isStale = false;
     }
   }
 
-  /** Tells the listeners once that the list may be out of date; a list must have been published. */
+  /** Notifies the listeners that the list is stale, unless it already is or none was published. */
   void publishStale() {
     Update update;
     synchronized (entries) {
@@ -76,7 +76,7 @@
     listeners.forEach(listener -> listener.accept(update));
   }
 
-  /** Publishes changed machines; as a snapshot, together with all others. */
+  /** Publishes the changed machines, or the whole list if the update is a snapshot. */
   void publish(List<MachineUpdate> changes, boolean isSnapshot) {
     Update update;
     synchronized (entries) {
@@ -92,7 +92,7 @@
   }
 
   private Entry apply(MachineUpdate change) {
-    Entry entry = entry(change, entries.get(change.name()));
+    Entry entry = newEntry(change, entries.get(change.name()));
     if (change.lifecycle() == Lifecycle.GONE) {
       entries.remove(change.name());
     } else {
@@ -101,7 +101,7 @@
     return entry;
   }
 
-  private static Entry entry(MachineUpdate change, Entry before) {
+  private static Entry newEntry(MachineUpdate change, Entry before) {
     MachineRecord machine = change.machine();
     return new Entry(
         change.name(),
@@ -115,7 +115,10 @@
         startedAt(change, before));
   }
 
-  /** A new machine under a known name that does not say so itself has started now. */
+  /**
+   * The start time to publish: the current time for a new machine under a known name whose record
+   * has no start time or that of its predecessor, so that the scheduler applies slow start to it.
+   */
   private static Instant startedAt(MachineUpdate change, Entry before) {
     long reported = change.machine().startedAtEpochMillis();
     Instant startedBefore = before == null ? null : before.startedAt();
--- a/src/main/java/fordridge/etcd/RecordFormatException.java
+++ b/src/main/java/fordridge/etcd/RecordFormatException.java
@@ -1,6 +1,6 @@
 package fordridge.etcd;
 
-/** A record of the store that cannot be read; the message names the field and its value. */
+/** Thrown if a record in the store cannot be decoded; the message says what is invalid. */
 final class RecordFormatException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/fordridge/etcd/SchedulerRegistration.java
+++ b/src/main/java/fordridge/etcd/SchedulerRegistration.java
@@ -14,29 +14,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Registers this scheduler under a lease, and keeps the lease alive while the connection lasts.
+ * Registers this scheduler in etcd under a lease, and keeps the lease alive while the connection
+ * lasts.
  *
- * <p>A lease that was lost, or could not be had, is granted anew at the next keepalive. Confined to
- * the client's thread; one instance for each connection.
+ * <p>If the lease expired or could not be granted, a new one is requested at the next keepalive.
+ * Confined to the etcd client's thread; each connection has its own instance.
  */
 final class SchedulerRegistration {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulerRegistration.class);
-  private static final String RECORD = "{\"v\":2}";
+  private static final String REGISTRATION_JSON = "{\"v\":2}";
   private static final int KEEPALIVES_PER_TTL = 3;
 
   private final ManagedChannel channel;
-  private final ConnectionScheduler.Scope scope;
+  private final ConnectionExecutor.Scope scope;
   private final String key;
   private final Duration leaseTtl;
   private final Duration callTimeout;
   private boolean isGranting;
   private boolean hasLease;
   private long leaseId;
-  private StreamObserver<LeaseKeepAliveRequest> keepAlives;
+  private StreamObserver<LeaseKeepAliveRequest> keepAliveRequests;
 
   SchedulerRegistration(
       ManagedChannel channel,
-      ConnectionScheduler.Scope scope,
+      ConnectionExecutor.Scope scope,
       String key,
       Duration leaseTtl,
       Duration callTimeout) {
@@ -47,17 +48,17 @@
     this.callTimeout = callTimeout;
   }
 
-  /** Registers the scheduler, and goes on until the scope ends. */
+  /** Registers the scheduler, and sends keepalives until the scope ends. */
   void start() {
     grantLease();
     scheduleKeepAlive();
   }
 
-  /** Ends the keepalives; the registration expires with its lease. */
+  /** Closes the keepalive stream; the registration then expires with its lease. */
   void stop() {
-    if (keepAlives != null) {
-      keepAlives.onCompleted();
-      keepAlives = null;
+    if (keepAliveRequests != null) {
+      keepAliveRequests.onCompleted();
+      keepAliveRequests = null;
     }
   }
 
@@ -81,7 +82,7 @@
     PutRequest put =
         PutRequest.newBuilder()
             .setKey(EtcdRequests.bytes(key))
-            .setValue(EtcdRequests.bytes(RECORD))
+            .setValue(EtcdRequests.bytes(REGISTRATION_JSON))
             .setLease(id)
             .build();
     KVGrpc.newStub(channel)
@@ -98,10 +99,10 @@
 
   private void keepAlive() {
     if (hasLease) {
-      if (keepAlives == null) {
-        keepAlives = LeaseGrpc.newStub(channel).leaseKeepAlive(new KeepAliveObserver());
+      if (keepAliveRequests == null) {
+        keepAliveRequests = LeaseGrpc.newStub(channel).leaseKeepAlive(new KeepAliveObserver());
       }
-      keepAlives.onNext(LeaseKeepAliveRequest.newBuilder().setID(leaseId).build());
+      keepAliveRequests.onNext(LeaseKeepAliveRequest.newBuilder().setID(leaseId).build());
     } else {
       grantLease();
     }
@@ -122,17 +123,17 @@
 
     @Override
     public void onError(Throwable failure) {
-      scope.execute(() -> keepAlives = null);
+      scope.execute(() -> keepAliveRequests = null);
     }
 
     @Override
     public void onCompleted() {
-      scope.execute(() -> keepAlives = null);
+      scope.execute(() -> keepAliveRequests = null);
     }
   }
 
   private void leaseLost() {
-    LOG.warn("etcd: the lease expired while this scheduler runs; registering anew");
+    LOG.warn("etcd: lease of this scheduler's registration expired; registering again");
     hasLease = false;
     grantLease();
   }
--- a/src/main/java/fordridge/etcd/ScopedObserver.java
+++ b/src/main/java/fordridge/etcd/ScopedObserver.java
@@ -4,14 +4,14 @@
 import io.grpc.stub.StreamObserver;
 import java.util.function.Consumer;
 
-/** Takes the response of a unary call on the client's thread, while its connection is in use. */
+/** Passes the response of a unary call to the client's thread, unless its connection is closed. */
 final class ScopedObserver<T> implements StreamObserver<T> {
-  private final ConnectionScheduler.Scope scope;
+  private final ConnectionExecutor.Scope scope;
   private final Consumer<T> onResponse;
   private final Consumer<Status> onFailure;
 
   ScopedObserver(
-      ConnectionScheduler.Scope scope, Consumer<T> onResponse, Consumer<Status> onFailure) {
+      ConnectionExecutor.Scope scope, Consumer<T> onResponse, Consumer<Status> onFailure) {
     this.scope = scope;
     this.onResponse = onResponse;
     this.onFailure = onFailure;
--- a/src/main/java/fordridge/etcd/SnapshotReader.java
+++ b/src/main/java/fordridge/etcd/SnapshotReader.java
@@ -11,20 +11,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads all records of the cluster page by page, every page at the revision of the first one.
+ * Reads all records of the cluster page by page, each page at the revision of the first one.
  *
- * <p>A compaction between two pages starts the snapshot anew. Confined to the client's thread.
+ * <p>If that revision is compacted between two pages, the snapshot is restarted. Confined to the
+ * etcd client's thread.
  */
 final class SnapshotReader {
-  /** Takes the snapshot as it comes. */
+  /** Receives the pages of a snapshot. */
   interface Listener {
-    /** A snapshot starts; what came of a snapshot before it that did not complete is void. */
+    /** A snapshot starts; it supersedes a previous snapshot that did not complete. */
     void snapshotStarted(long clusterId, long revision);
 
-    /** A page came. */
+    /** A page was received. */
     void snapshotPageReceived(List<KeyValue> records);
 
-    /** All pages came. */
+    /** All pages were received. */
     void snapshotCompleted(long revision);
 
     /** A page could not be read. */
@@ -46,20 +47,20 @@
     this.listener = listener;
   }
 
-  /** Starts a snapshot over a channel. */
-  @SuppressWarnings("NonAtomicVolatileUpdate") // Only the client's thread writes.
-  void start(ManagedChannel channel, ConnectionScheduler.Scope scope) {
+  /** Starts reading a snapshot over a channel. */
+  @SuppressWarnings("NonAtomicVolatileUpdate") // Written on the client's thread only.
+  void start(ManagedChannel channel, ConnectionExecutor.Scope scope) {
     snapshotCount++;
     requestPage(channel, scope, EtcdRequests.bytes(keyPrefix), LATEST_REVISION);
   }
 
-  /** Snapshots started so far; from any thread. */
+  /** The number of snapshots started so far. Thread-safe. */
   int snapshotCount() {
     return snapshotCount;
   }
 
   private void requestPage(
-      ManagedChannel channel, ConnectionScheduler.Scope scope, ByteString from, long revision) {
+      ManagedChannel channel, ConnectionExecutor.Scope scope, ByteString from, long revision) {
     KVGrpc.newStub(channel)
         .withDeadlineAfter(callTimeout.toMillis(), TimeUnit.MILLISECONDS)
         .range(
@@ -72,7 +73,7 @@
 
   private void pageReceived(
       ManagedChannel channel,
-      ConnectionScheduler.Scope scope,
+      ConnectionExecutor.Scope scope,
       RangeResponse page,
       long requestedRevision) {
     boolean isFirstPage = requestedRevision == LATEST_REVISION;
@@ -88,7 +89,7 @@
     }
   }
 
-  private void pageFailed(ManagedChannel channel, ConnectionScheduler.Scope scope, Status status) {
+  private void pageFailed(ManagedChannel channel, ConnectionExecutor.Scope scope, Status status) {
     boolean isCompacted = status.getCode() == Status.Code.OUT_OF_RANGE;
     if (isCompacted) {
       start(channel, scope);
--- a/src/main/java/fordridge/etcd/StoreRecordCodec.java
+++ b/src/main/java/fordridge/etcd/StoreRecordCodec.java
@@ -18,9 +18,9 @@
 import java.time.format.DateTimeParseException;
 
 /**
- * The records of the store: JSON with a schema version {@code v}.
+ * Decodes and encodes the records in the store: JSON objects with a schema version {@code v}.
  *
- * <p>Reads version 1 (machines without zone and cell) and 2; writes 2. Fields that it does not know
+ * <p>Reads versions 1 (machines without zone and cell) and 2, and writes version 2. Unknown fields
  * are ignored.
  */
 final class StoreRecordCodec {
@@ -30,7 +30,7 @@
 
   private StoreRecordCodec() {}
 
-  /** Decodes a record as far as it can be; what cannot is {@link StoreRecord.Unreadable}. */
+  /** Decodes a record; a value that cannot be decoded becomes {@link StoreRecord.Unreadable}. */
   static StoreRecord decode(KeyValue keyValue, StoreKeys keys) {
     String key = keyValue.getKey().toStringUtf8();
     RecordKind kind = keys.kind(key);
@@ -50,8 +50,8 @@
       }
       String text = decodeText(keyValue.getValue());
       return switch (kind) {
-        case MACHINE -> machine(StoredJson.parse(text));
-        case DRAIN -> new StoreRecord.Drain(StoredJson.parse(text).describe("reason"));
+        case MACHINE -> decodeMachine(StoredJson.parse(text));
+        case DRAIN -> new StoreRecord.Drain(StoredJson.parse(text).asText("reason"));
         case SHARED_SETTING, SCHEDULER, OTHER -> new StoreRecord.Text(text);
       };
     } catch (RecordFormatException e) {
@@ -61,7 +61,8 @@
 
   private static String decodeText(ByteString bytes) throws RecordFormatException {
     if (bytes.size() > MAX_VALUE_BYTES) {
-      throw new RecordFormatException(bytes.size() + " bytes, at most " + MAX_VALUE_BYTES);
+      throw new RecordFormatException(
+          "the value has " + bytes.size() + " bytes, allowed: at most " + MAX_VALUE_BYTES);
     }
     try {
       return StandardCharsets.UTF_8
@@ -73,14 +74,14 @@
     }
   }
 
-  private static MachineRecord machine(StoredJson json) throws RecordFormatException {
+  private static MachineRecord decodeMachine(StoredJson json) throws RecordFormatException {
     long version = json.wholeNumber("v", 1);
     if (version > SCHEMA_VERSION) {
       throw new RecordFormatException(
-          "schema " + version + ", this scheduler reads up to " + SCHEMA_VERSION);
+          "schema version is " + version + ", supported: up to " + SCHEMA_VERSION);
     }
     boolean hasZone = version >= FIRST_VERSION_WITH_ZONES;
-    String address = address(json);
+    String address = decodeAddress(json);
     double cores = json.number("cores", 0);
     double memory = json.number("memory", 0);
     return new MachineRecord(
@@ -93,10 +94,10 @@
         json.number("free_cores", cores),
         json.number("free_memory", memory),
         json.wholeNumber("incarnation", 0),
-        startedAtEpochMillis(json));
+        decodeStartedAt(json));
   }
 
-  private static String address(StoredJson json) throws RecordFormatException {
+  private static String decodeAddress(StoredJson json) throws RecordFormatException {
     String address = json.requiredString("address");
     if (!HostAndPort.isValid(address)) {
       throw new RecordFormatException("field 'address' is '" + address + "', not host:port");
@@ -104,16 +105,17 @@
     return address;
   }
 
-  private static long startedAtEpochMillis(StoredJson json) throws RecordFormatException {
+  private static long decodeStartedAt(StoredJson json) throws RecordFormatException {
     String started = json.string("started", "");
     try {
       return started.isEmpty() ? 0 : Instant.parse(started).toEpochMilli();
     } catch (DateTimeParseException e) {
-      throw new RecordFormatException("field 'started' is '" + started + "', not an instant", e);
+      throw new RecordFormatException(
+          "field 'started' is '" + started + "', not an ISO 8601 instant", e);
     }
   }
 
-  /** A drain's record. */
+  /** Encodes a drain record. */
   static String encodeDrain(String reason, Instant since) {
     StringWriter text = new StringWriter();
     try (JsonGenerator json = StoredJson.FACTORY.createGenerator(text)) {
--- a/src/main/java/fordridge/etcd/StoredJson.java
+++ b/src/main/java/fordridge/etcd/StoredJson.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * A record of the store as a flat JSON object, with typed access to its fields. Unknown fields are
- * ignored, nested ones are rejected.
+ * A record in the store as a flat JSON object, with typed access to its fields. Nested fields are
+ * rejected.
  */
 final class StoredJson {
   static final JsonFactory FACTORY = new JsonFactory();
@@ -24,7 +24,7 @@
   /**
    * Parses a record.
    *
-   * @throws RecordFormatException if it is no flat JSON object
+   * @throws RecordFormatException if the text is not a flat JSON object
    */
   static StoredJson parse(String text) throws RecordFormatException {
     try (JsonParser parser = FACTORY.createParser(text)) {
@@ -45,7 +45,8 @@
     while (parser.nextToken() == JsonToken.FIELD_NAME) {
       String name = parser.currentName();
       if (parser.nextToken().isStructStart()) {
-        throw new RecordFormatException("field '" + name + "' is nested");
+        throw new RecordFormatException(
+            "field '" + name + "' is an object or array, not a plain value");
       }
       fields.put(name, readValue(parser));
     }
@@ -61,7 +62,7 @@
     };
   }
 
-  /** A field that must be there. */
+  /** Returns the value of a required string field. */
   String requiredString(String name) throws RecordFormatException {
     if (!fields.containsKey(name)) {
       throw new RecordFormatException("field '" + name + "' is missing");
@@ -69,32 +70,32 @@
     return string(name, "");
   }
 
-  String string(String name, String absent) throws RecordFormatException {
-    Object value = fields.getOrDefault(name, absent);
+  String string(String name, String defaultValue) throws RecordFormatException {
+    Object value = fields.getOrDefault(name, defaultValue);
     if (value instanceof String string) {
       return string;
     }
-    throw new RecordFormatException("field '" + name + "' is not a text");
+    throw new RecordFormatException("field '" + name + "' is '" + value + "', not a string");
   }
 
-  double number(String name, double absent) throws RecordFormatException {
-    Object value = fields.getOrDefault(name, absent);
+  double number(String name, double defaultValue) throws RecordFormatException {
+    Object value = fields.getOrDefault(name, defaultValue);
     if (value instanceof Number number) {
       return number.doubleValue();
     }
-    throw new RecordFormatException("field '" + name + "' is not a number");
+    throw new RecordFormatException("field '" + name + "' is '" + value + "', not a number");
   }
 
-  long wholeNumber(String name, long absent) throws RecordFormatException {
-    Object value = fields.getOrDefault(name, absent);
+  long wholeNumber(String name, long defaultValue) throws RecordFormatException {
+    Object value = fields.getOrDefault(name, defaultValue);
     if (value instanceof Long number) {
       return number;
     }
-    throw new RecordFormatException("field '" + name + "' is not a whole number");
+    throw new RecordFormatException("field '" + name + "' is '" + value + "', not a whole number");
   }
 
-  /** A field of any type as text, for operators to read; empty where it is absent. */
-  String describe(String name) {
+  /** Returns a field of any type as text for operators; empty if it is absent. */
+  String asText(String name) {
     return String.valueOf(fields.getOrDefault(name, ""));
   }
 
--- a/src/main/java/fordridge/etcd/WatchStream.java
+++ b/src/main/java/fordridge/etcd/WatchStream.java
@@ -15,46 +15,50 @@
 import java.util.List;
 
 /**
- * One watch of all records of the cluster, from a revision on.
+ * A watch of all records of the cluster, starting at one revision.
  *
- * <p>The next response is requested when one was taken: what waits is in the transport, and bounded
- * there. The fragments of a change are put together. Confined to the client's thread.
+ * <p>The next response is requested after the previous one was handled, so that gRPC flow control
+ * bounds the queued responses. Fragments of a response are reassembled. Confined to the etcd
+ * client's thread.
  */
 final class WatchStream {
-  /** Takes what the watch delivers. */
+  /** Receives the changes and the end of the watch. */
   interface Listener {
-    /** Whether the header belongs to the store's history that is known; else the watch ends. */
-    boolean isExpected(ResponseHeader header);
+    /** Whether a response belongs to the known history of the store; if not, the watch ends. */
+    boolean isKnownHistory(ResponseHeader header);
 
-    /** The watch began; all changes before it are known. */
+    /** The store has created the watch. */
     void watchCreated(List<Event> changes);
 
-    /** A part of a change came; the others follow. */
+    /** A fragment of a response was received; others follow. */
     void fragmentReceived();
 
-    /** Whole changes came, or none where only progress is confirmed. */
+    /** Complete changes were received; none in a progress notification. */
     void changesReceived(List<Event> changes, long revision);
 
-    /** The revision to watch from was compacted, or the store's history is another one. */
+    /** The watch cannot continue without a new snapshot. */
     void snapshotNeeded(SnapshotReason reason);
 
-    /** The watch ended. */
+    /** The watch broke or was cancelled by the store. */
     void watchFailed(String reason);
   }
 
-  /** Why a watch cannot go on without a snapshot. */
+  /**
+   * Why a watch cannot continue without a snapshot: its start revision was compacted, or the store
+   * was restored or replaced.
+   */
   enum SnapshotReason {
     COMPACTED,
     OTHER_HISTORY
   }
 
-  private final ConnectionScheduler.Scope scope;
+  private final ConnectionExecutor.Scope scope;
   private final Listener listener;
   private final List<Event> fragments = new ArrayList<>();
   private ClientCallStreamObserver<WatchRequest> requests;
   private boolean isClosed;
 
-  private WatchStream(ConnectionScheduler.Scope scope, Listener listener) {
+  private WatchStream(ConnectionExecutor.Scope scope, Listener listener) {
     this.scope = scope;
     this.listener = listener;
   }
@@ -62,7 +66,7 @@
   /** Opens a watch of all keys that begin with a prefix. */
   static WatchStream open(
       ManagedChannel channel,
-      ConnectionScheduler.Scope scope,
+      ConnectionExecutor.Scope scope,
       String keyPrefix,
       long fromRevision,
       Listener listener) {
@@ -83,7 +87,7 @@
         .build();
   }
 
-  /** Asks the store to confirm that it has delivered everything. */
+  /** Requests a progress notification from the store. */
   void requestProgress() {
     requests.onNext(
         WatchRequest.newBuilder()
@@ -91,7 +95,7 @@
             .build());
   }
 
-  /** Ends the watch; nothing more is delivered. */
+  /** Cancels the watch. */
   void close(String reason) {
     isClosed = true;
     requests.cancel(reason, null);
@@ -125,16 +129,16 @@
 
     @Override
     public void onCompleted() {
-      scope.execute(() -> listener.watchFailed("watch: ended by the store"));
+      scope.execute(() -> listener.watchFailed("watch: closed by the store"));
     }
   }
 
   private void responseReceived(WatchResponse response) {
     if (response.getCanceled()) {
-      canceled(response);
+      watchCanceled(response);
       return;
     }
-    if (!listener.isExpected(response.getHeader())) {
+    if (!listener.isKnownHistory(response.getHeader())) {
       listener.snapshotNeeded(SnapshotReason.OTHER_HISTORY);
       return;
     }
@@ -152,7 +156,7 @@
     }
   }
 
-  private void canceled(WatchResponse response) {
+  private void watchCanceled(WatchResponse response) {
     if (response.getCompactRevision() > 0) {
       listener.snapshotNeeded(SnapshotReason.COMPACTED);
     } else {
--- a/src/main/java/fordridge/membership/EndpointRotation.java
+++ b/src/main/java/fordridge/membership/EndpointRotation.java
@@ -4,14 +4,16 @@
 import java.time.Duration;
 
 /**
- * Chooses the next of several endpoints after a failure, and the delay before it is tried: each in
- * turn, with exponential backoff and jitter from the second round on. Confined to one thread.
+ * Selects the next of several endpoints after a failure, and the delay before connecting to it.
+ *
+ * <p>Endpoints are tried round-robin, with exponential backoff and jitter from the second round on.
+ * Confined to one thread.
  */
 public final class EndpointRotation {
   private static final Duration MIN_DELAY = Duration.ofMillis(100);
   private static final Duration MAX_DELAY = Duration.ofSeconds(2);
 
-  /** Keeps the power of two within range. */
+  /** Prevents overflow of the backoff factor, a power of two. */
   private static final int MAX_BACKOFF_EXPONENT = 30;
 
   private final int endpointCount;
@@ -19,28 +21,28 @@
   private int current;
   private int consecutiveFailures;
 
-  /** Starts at an endpoint drawn at random. */
+  /** Creates a rotation that starts at a random endpoint. */
   public EndpointRotation(int endpointCount, SeededRandom random) {
     this.endpointCount = endpointCount;
     this.random = random;
     current = (int) (random.next() * endpointCount);
   }
 
-  /** Index of the endpoint in use. */
+  /** The index of the current endpoint. */
   public int current() {
     return current;
   }
 
-  /** The endpoint works: the next failure starts with the shortest delay. */
+  /** Resets the backoff after the current endpoint has worked. */
   public void succeeded() {
     consecutiveFailures = 0;
   }
 
   /**
-   * The endpoint failed: the next one is in use, after the delay returned.
+   * Moves on to the next endpoint after a failure, and returns the delay before connecting to it.
    *
-   * <p>The delays of the first round are short but never nothing: hundreds of schedulers lose one
-   * endpoint at the same instant, and must not all connect to the next at another.
+   * <p>The delays of the first round are short, but random as well: hundreds of schedulers lose an
+   * endpoint at the same time, and must not all connect to the next one simultaneously.
    */
   public Duration failed() {
     consecutiveFailures++;
--- a/src/main/java/fordridge/membership/MachineListReplica.java
+++ b/src/main/java/fordridge/membership/MachineListReplica.java
@@ -14,16 +14,17 @@
 import java.util.TreeMap;
 
 /**
- * A local replica of the store's records, built from snapshots and watch events that may be
- * repeated, late, partial or missing.
+ * A local replica of the records in etcd, built from snapshots and watch events that may be
+ * duplicated, late, partial or missing.
  *
- * <p>The last revision of every key is kept, also of deleted ones, and an event at or below it is
- * ignored: an old event cannot undo a newer one, whatever the order. A snapshot is compared with
- * the replica: keys that it does not contain were deleted meanwhile, and a key that was created
- * anew since belongs to another machine. A machine that drains does so until the store says
- * otherwise.
+ * <p>The latest revision of every key is kept, also of deleted keys, and events at or below it are
+ * ignored, so that an old event cannot undo a newer one in whatever order they arrive. When a
+ * snapshot completes, known keys that it does not contain are treated as deleted. A key with a new
+ * create revision belongs to another machine. A machine stays draining until its drain record is
+ * deleted in the store.
  *
- * <p>Free of I/O, threads and clocks; confined to one thread; times are durations since the start.
+ * <p>Performs no I/O, starts no threads and reads no clock; confined to one thread. Times are
+ * durations since a fixed origin that the caller chooses.
  *
  * <table>
  *   <caption>Transitions of {@link SyncState}</caption>
@@ -31,27 +32,27 @@
  *   <tr><td>any</td><td>{@link #snapshotStarted}</td><td>LOADING_SNAPSHOT</td></tr>
  *   <tr><td>LOADING_SNAPSHOT</td><td>{@link #snapshotCompleted}</td><td>IN_SYNC</td></tr>
  *   <tr><td>LOADING_SNAPSHOT, IN_SYNC</td><td>{@link #connectionLost}</td><td>STALE</td></tr>
- *   <tr><td>IN_SYNC</td><td>{@link #checkSilence}, too long after the last input</td>
+ *   <tr><td>IN_SYNC</td><td>{@link #checkSilence}, no input within the timeout</td>
  *   <td>STALE</td></tr>
  *   <tr><td>STALE</td><td>{@link #progressConfirmed}</td><td>IN_SYNC</td></tr>
  * </table>
  */
 public final class MachineListReplica {
-  /** How far the replica can be relied on. */
+  /** How the replica relates to the store. */
   public enum SyncState {
-    /** Nothing is known yet. */
+    /** No snapshot has started yet. */
     EMPTY,
     /** A snapshot is being loaded. */
     LOADING_SNAPSHOT,
-    /** The watch delivers all changes. */
+    /** The replica has all changes that the watch has delivered. */
     IN_SYNC,
-    /** Changes may be missing. */
+    /** The watch is broken or silent; changes may be missing. */
     STALE
   }
 
   private static final String UNREADABLE_DRAIN = "unreadable";
 
-  /** What is known of one key. */
+  /** The known state of one key. */
   private static final class TrackedKey {
     long modRevision;
     long createRevision;
@@ -67,7 +68,7 @@
   /** The create revision of each machine's record, by the machine's name. */
   private final Map<String, Long> machineCreateRevisions = new HashMap<>();
 
-  /** The same, as of the machine's last published update. */
+  /** The same as of each machine's last published update. */
   private final Map<String, Long> publishedCreateRevisions = new HashMap<>();
 
   private final Map<String, MachineUpdate> published = new LinkedHashMap<>();
@@ -80,14 +81,14 @@
   private long revision;
   private long snapshotRevision;
   private Set<String> snapshotKeys;
-  private Duration lastHeardAt = Duration.ZERO;
+  private Duration lastInputAt = Duration.ZERO;
   private boolean haveSharedSettingsChanged;
 
   /**
-   * An empty replica.
+   * Creates an empty replica.
    *
    * @param keys the layout of the store's keys
-   * @param silenceTimeout after this long without input the replica counts as stale
+   * @param silenceTimeout the replica is stale if it gets no input for this long
    */
   public MachineListReplica(StoreKeys keys, Duration silenceTimeout) {
     this.keys = keys;
@@ -95,31 +96,32 @@
   }
 
   /**
-   * A snapshot at one revision starts.
+   * Starts loading a snapshot at one revision.
    *
-   * <p>A cluster of another id, or a revision below the known one, is a store restored from an
-   * older state: it is reported, and the replica follows the new one, whatever its revisions.
+   * <p>Another cluster id, or a revision below the known one, means that the store was replaced or
+   * restored from a backup. A warning is reported, and the records of the snapshot replace those of
+   * the replica regardless of their revisions.
    */
   public void snapshotStarted(long newClusterId, long atRevision, Duration now) {
     boolean isOtherCluster = newClusterId != clusterId;
     if (clusterId != 0 && (isOtherCluster || atRevision < revision)) {
       warnings.add(
           isOtherCluster ? otherClusterWarning(newClusterId) : restoredStoreWarning(atRevision));
-      forgetRevisions();
+      resetRevisions();
     }
     clusterId = newClusterId;
     snapshotRevision = atRevision;
     snapshotKeys = new HashSet<>();
-    lastHeardAt = now;
+    lastInputAt = now;
     syncState = SyncState.LOADING_SNAPSHOT;
   }
 
   private String otherClusterWarning(long newClusterId) {
-    return "the store is another cluster than before ("
+    return "the store is another cluster than before (cluster id "
         + Long.toHexString(newClusterId)
-        + " in place of "
+        + ", previously "
         + Long.toHexString(clusterId)
-        + "): all is taken anew";
+        + "); replacing all records with a new snapshot";
   }
 
   private String restoredStoreWarning(long atRevision) {
@@ -127,27 +129,30 @@
         + revision
         + " to "
         + atRevision
-        + ", as after a restore: all is taken anew";
+        + ", as after a restore from a backup; replacing all records with a new snapshot";
   }
 
-  /** Revisions of another history do not tell whether a record is newer or of the same machine. */
-  private void forgetRevisions() {
+  /**
+   * Resets all known revisions: those of another history cannot be compared to tell which record is
+   * newer, or whether a key still belongs to the same machine.
+   */
+  private void resetRevisions() {
     for (TrackedKey tracked : trackedKeys.values()) {
       tracked.modRevision = 0;
       tracked.createRevision = 0;
     }
   }
 
-  /** A page of the snapshot, read at the snapshot's revision. */
+  /** Applies one page of the snapshot, read at the snapshot's revision. */
   public void snapshotPageReceived(List<StoreRecord> records, Duration now) {
-    lastHeardAt = now;
+    lastInputAt = now;
     for (StoreRecord record : records) {
       snapshotKeys.add(record.key());
       put(record);
     }
   }
 
-  /** The snapshot is complete: known keys that it does not contain were deleted. */
+  /** Completes the snapshot: known keys that it does not contain are deleted. */
   public void snapshotCompleted(Duration now) {
     for (Map.Entry<String, TrackedKey> entry : trackedKeys.entrySet()) {
       TrackedKey tracked = entry.getValue();
@@ -159,34 +164,34 @@
     }
     snapshotKeys = null;
     revision = snapshotRevision;
-    lastHeardAt = now;
+    lastInputAt = now;
     syncState = SyncState.IN_SYNC;
   }
 
-  /** The watch delivered a new or changed record. */
+  /** Applies a new or changed record that the watch delivered. */
   public void recordPut(StoreRecord record, Duration now) {
-    lastHeardAt = now;
+    lastInputAt = now;
     put(record);
     revision = Math.max(revision, record.modRevision());
   }
 
-  /** The watch delivered the deletion of a key. */
+  /** Applies the deletion of a key that the watch delivered. */
   public void recordDeleted(String key, long atRevision, Duration now) {
-    lastHeardAt = now;
+    lastInputAt = now;
     delete(key, atRevision);
     revision = Math.max(revision, atRevision);
   }
 
-  /** The watch is alive and has delivered all changes up to this revision. */
+  /** Handles a progress notification: all changes up to this revision have been delivered. */
   public void progressConfirmed(long upToRevision, Duration now) {
-    lastHeardAt = now;
+    lastInputAt = now;
     revision = Math.max(revision, upToRevision);
     if (syncState == SyncState.STALE) {
       syncState = SyncState.IN_SYNC;
     }
   }
 
-  /** The watch broke or was rejected: changes may be missing from here on. */
+  /** Handles the loss of the watch: changes may be missing from now on. */
   public void connectionLost() {
     if (syncState == SyncState.IN_SYNC || syncState == SyncState.LOADING_SNAPSHOT) {
       syncState = SyncState.STALE;
@@ -194,9 +199,9 @@
     }
   }
 
-  /** Whether the replica has just become stale because nothing came for too long. */
+  /** Makes the replica stale after too long without input; returns whether it just became so. */
   public boolean checkSilence(Duration now) {
-    boolean isSilent = now.minus(lastHeardAt).compareTo(silenceTimeout) >= 0;
+    boolean isSilent = now.minus(lastInputAt).compareTo(silenceTimeout) >= 0;
     if (syncState == SyncState.IN_SYNC && isSilent) {
       syncState = SyncState.STALE;
       return true;
@@ -227,7 +232,7 @@
     }
   }
 
-  /** The last good record stays; a drain that cannot be read is a drain. */
+  /** Keeps the last valid record; an unreadable drain record drains the machine nevertheless. */
   private void putUnreadable(StoreRecord record, TrackedKey tracked, String reason) {
     warnings.add(record.key() + " at revision " + record.modRevision() + ": " + reason);
     if (record.kind() == RecordKind.DRAIN && !tracked.isPresent) {
@@ -275,7 +280,10 @@
     }
   }
 
-  /** Machines that changed since the last call; record and drain of a machine count together. */
+  /**
+   * Returns the machines that changed since the last call, with at most one update for each machine
+   * even if both its record and its drain changed.
+   */
   public List<MachineUpdate> takeUpdates() {
     List<MachineUpdate> updates = new ArrayList<>();
     for (String name : changedMachines) {
@@ -314,7 +322,7 @@
         || before.machine().incarnation() != machine.incarnation();
   }
 
-  /** The last update of every machine that was ever known. */
+  /** The last published update of every machine, including machines that are gone. */
   public List<MachineUpdate> publishedUpdates() {
     return List.copyOf(published.values());
   }
@@ -324,42 +332,42 @@
     return Map.copyOf(sharedSettings);
   }
 
-  /** Whether a shared setting changed since the last call. */
+  /** Returns whether a shared setting changed since the last call. */
   public boolean takeSharedSettingsChanged() {
     boolean haveChanged = haveSharedSettingsChanged;
     haveSharedSettingsChanged = false;
     return haveChanged;
   }
 
-  /** Schedulers that are registered. */
+  /** The number of registered schedulers. */
   public int registeredSchedulers() {
     return schedulers.size();
   }
 
-  /** Warnings for operators since the last call. */
+  /** Returns the warnings for operators that were added since the last call. */
   public List<String> takeWarnings() {
     List<String> taken = List.copyOf(warnings);
     warnings.clear();
     return taken;
   }
 
-  /** How far the replica can be relied on. */
+  /** How the replica relates to the store. */
   public SyncState syncState() {
     return syncState;
   }
 
-  /** All changes up to this revision are known; a watch resumes at the next. */
+  /** The revision up to which all changes are known; a watch resumes at the next one. */
   public long revision() {
     return revision;
   }
 
-  /** Id of the cluster that the records are of; 0 before the first snapshot. */
+  /** The id of the etcd cluster that the records come from; 0 before the first snapshot. */
   public long clusterId() {
     return clusterId;
   }
 
-  /** When the last input came. */
-  public Duration lastHeardAt() {
-    return lastHeardAt;
+  /** The time of the last input. */
+  public Duration lastInputAt() {
+    return lastInputAt;
   }
 }
--- a/src/main/java/fordridge/membership/MachineRecord.java
+++ b/src/main/java/fordridge/membership/MachineRecord.java
@@ -1,14 +1,15 @@
 package fordridge.membership;
 
 /**
- * A machine's record as the machine wrote it.
+ * The record that a machine writes about itself in the store.
  *
  * @param address {@code host:port}
- * @param cell number of the failure domain within its zone
- * @param cores size of the machine; memory in the cluster's memory units
- * @param freeCores cores that nobody has reserved
- * @param incarnation changes when the machine starts anew
- * @param startedAtEpochMillis when it started; 0 where it does not say
+ * @param cell number of the cell, a failure domain within the zone
+ * @param cores total cores of the machine
+ * @param memory total memory of the machine, in the cluster's memory units
+ * @param freeCores cores that are not reserved
+ * @param incarnation number that changes each time the machine restarts
+ * @param startedAtEpochMillis start time of the machine; 0 if the record does not state it
  */
 public record MachineRecord(
     String address,
--- a/src/main/java/fordridge/membership/RecordKind.java
+++ b/src/main/java/fordridge/membership/RecordKind.java
@@ -1,6 +1,6 @@
 package fordridge.membership;
 
-/** What a record of the store is about. */
+/** The kinds of records in the store. */
 public enum RecordKind {
   MACHINE,
   DRAIN,
--- a/src/main/java/fordridge/membership/SchedulerCount.java
+++ b/src/main/java/fordridge/membership/SchedulerCount.java
@@ -3,60 +3,64 @@
 import java.time.Duration;
 
 /**
- * The number of schedulers that share the start rate of a machine in slow start, from the number of
- * registrations.
+ * Derives the number of schedulers that share the start rate of a machine in slow start from the
+ * number of registrations.
  *
- * <p>More schedulers count at once: each may already be sending. Fewer count only after twice the
- * lease's time to live, so that the share of a scheduler whose registration expired while it still
- * runs is not given away. Confined to one thread.
+ * <p>An increase takes effect immediately, as the additional schedulers may already be sending
+ * offers. A decrease takes effect only after twice the time to live of a lease, so that the share
+ * of a scheduler that is still running although its registration expired is not given to the
+ * others. Confined to one thread.
  */
 public final class SchedulerCount {
-  private static final int LEASES_UNTIL_GONE = 2;
+  private static final int DECREASE_DELAY_LEASE_TTLS = 2;
 
   private final Duration decreaseDelay;
   private int count;
-  private int highestWhileWaiting;
-  private Duration fewerSince;
+  private int highestDuringDelay;
+  private Duration decreasePendingSince;
 
   /**
-   * Starts with the configured number.
+   * Creates a count that starts at the configured number.
    *
-   * @param leaseTtl time to live of a registration's lease
+   * @param leaseTtl time to live of the lease under which schedulers register
    */
   public SchedulerCount(int configuredCount, Duration leaseTtl) {
     count = Math.max(1, configuredCount);
-    decreaseDelay = leaseTtl.multipliedBy(LEASES_UNTIL_GONE);
+    decreaseDelay = leaseTtl.multipliedBy(DECREASE_DELAY_LEASE_TTLS);
   }
 
-  /** Takes the number of registrations, at any time; returns the number to share by. */
-  public int registrationsCounted(int registrations, Duration now) {
+  /**
+   * Updates the count with the current number of registrations, and returns the number of
+   * schedulers that share the start rate.
+   */
+  public int updateRegistrations(int registrations, Duration now) {
     int registered = Math.max(1, registrations);
     if (registered >= count) {
       count = registered;
-      fewerSince = null;
-    } else if (fewerSince == null) {
-      fewerSince = now;
-      highestWhileWaiting = registered;
+      decreasePendingSince = null;
+    } else if (decreasePendingSince == null) {
+      decreasePendingSince = now;
+      highestDuringDelay = registered;
     } else {
-      highestWhileWaiting = Math.max(highestWhileWaiting, registered);
-      decreaseAfterDelay(now);
+      highestDuringDelay = Math.max(highestDuringDelay, registered);
+      decreaseIfDelayElapsed(now);
     }
     return count;
   }
 
-  private void decreaseAfterDelay(Duration now) {
-    if (now.minus(fewerSince).compareTo(decreaseDelay) >= 0) {
-      count = highestWhileWaiting;
-      fewerSince = null;
+  private void decreaseIfDelayElapsed(Duration now) {
+    if (now.minus(decreasePendingSince).compareTo(decreaseDelay) >= 0) {
+      count = highestDuringDelay;
+      decreasePendingSince = null;
     }
   }
 
-  /** The store cannot be reached: a decrease must be seen anew. */
+  /** Restarts the delay of a pending decrease after the connection to the store was lost. */
   public void connectionLost() {
-    fewerSince = null;
+    decreasePendingSince = null;
   }
 
-  /** The number to share by. */
+  /** The number of schedulers that share the start rate. */
   public int count() {
     return count;
   }
--- a/src/main/java/fordridge/membership/StoreKeys.java
+++ b/src/main/java/fordridge/membership/StoreKeys.java
@@ -1,9 +1,10 @@
 package fordridge.membership;
 
 /**
- * The layout of the store's keys: one prefix for a cluster, one folder for each kind of record.
+ * The layout of the keys in the store: a prefix for each cluster, and below it one path for each
+ * kind of record.
  *
- * @param prefix prefix of all keys, without a slash at its end
+ * @param prefix prefix of all keys of the cluster, without a trailing slash
  */
 public record StoreKeys(String prefix) {
   private static final String MACHINES = "/machines/";
@@ -16,7 +17,7 @@
     return prefix + MACHINES + name;
   }
 
-  /** The key of a machine's drain. */
+  /** The key of a machine's drain record. */
   public String drain(String machineName) {
     return prefix + DRAINS + machineName;
   }
@@ -31,12 +32,12 @@
     return prefix + SCHEDULERS + name;
   }
 
-  /** What all keys of the cluster begin with. */
+  /** The prefix of all keys of the cluster, with a trailing slash. */
   public String commonPrefix() {
     return prefix + "/";
   }
 
-  /** What a key's record is about. */
+  /** The kind of the record under a key. */
   public RecordKind kind(String key) {
     if (!key.startsWith(prefix)) {
       return RecordKind.OTHER;
@@ -54,7 +55,7 @@
     return relativeKey.startsWith(SCHEDULERS) ? RecordKind.SCHEDULER : RecordKind.OTHER;
   }
 
-  /** The name of what a key's record is about. */
+  /** The last path element of a key: the name of a machine, a shared setting or a scheduler. */
   public String name(String key) {
     return key.substring(key.lastIndexOf('/') + 1);
   }
--- a/src/main/java/fordridge/membership/StoreRecord.java
+++ b/src/main/java/fordridge/membership/StoreRecord.java
@@ -1,10 +1,10 @@
 package fordridge.membership;
 
 /**
- * One key of the store with its value, decoded as far as it can be.
+ * One key of the store with its decoded value.
  *
- * @param name name of what the record is about
- * @param modRevision revision of the key's last change
+ * @param name name of the machine, shared setting or scheduler that the record describes
+ * @param modRevision revision of the last change of the key
  * @param createRevision revision at which the key was created
  */
 public record StoreRecord(
@@ -13,19 +13,19 @@
   public sealed interface Value permits MachineRecord, Drain, Text, Unreadable {}
 
   /**
-   * A drain: the machine takes nothing new.
+   * A drain record: its machine gets no new VMs.
    *
-   * @param reason why, for operators
+   * @param reason why the machine is drained, for operators
    */
   public record Drain(String reason) implements Value {}
 
-  /** A value that is used as it is: a shared setting, a registration, or an unknown record. */
+  /** An undecoded value: a shared setting, a scheduler's registration, or an unknown record. */
   public record Text(String text) implements Value {}
 
   /**
-   * A value that cannot be read.
+   * A value that cannot be decoded.
    *
-   * @param reason what is wrong with it
+   * @param reason why it cannot be decoded
    */
   public record Unreadable(String reason) implements Value {}
 }
--- a/src/main/java/fordridge/observability/Logging.java
+++ b/src/main/java/fordridge/observability/Logging.java
@@ -10,19 +10,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Configures logging to standard error, as plain lines or as JSON lines. */
+/** Configures logging to standard error, as plain text or JSON lines. */
 public final class Logging {
   private static final String PLAIN_PATTERN =
       "%d{HH:mm:ss.SSS} %-5level %logger{0} %msg %kvp{NONE}%n";
-  private static final String OWN_LOGGERS = "fordridge";
+  private static final String PROJECT_LOGGER_PREFIX = "fordridge";
 
   private Logging() {}
 
   /**
-   * Replaces the configuration of the whole process.
+   * Replaces the logging configuration of the process.
    *
-   * @param format {@code json}, or anything else for plain lines
-   * @param level level of this project's loggers; those of libraries log warnings and errors
+   * @param format {@code json} for JSON lines; any other value for plain text
+   * @param level level of this project's loggers; loggers of libraries log warnings and errors only
    */
   public static void configure(String format, String level) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
@@ -30,7 +30,7 @@
     ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
     root.addAppender(standardError(context, format));
     root.setLevel(Level.WARN);
-    context.getLogger(OWN_LOGGERS).setLevel(Level.toLevel(level));
+    context.getLogger(PROJECT_LOGGER_PREFIX).setLevel(Level.toLevel(level));
   }
 
   private static ConsoleAppender<ILoggingEvent> standardError(
--- a/src/main/java/fordridge/observability/Metrics.java
+++ b/src/main/java/fordridge/observability/Metrics.java
@@ -15,10 +15,10 @@
 import java.util.function.Supplier;
 
 /**
- * Counters and timers of a process, over all its scheduler instances.
+ * Counters, timers and gauges of a process, aggregated over its scheduler instances.
  *
- * <p>Names and tags of metrics are an interface to dashboards: they stay when the code is renamed.
- * All methods may be called from any thread.
+ * <p>Metric names and tags are an interface to dashboards and must not change when Java identifiers
+ * are renamed. Thread-safe.
  */
 public final class Metrics {
   private static final double MEDIAN = 0.5;
@@ -27,7 +27,7 @@
   private static final double PERCENTILE_TOLERANCE = 1e-9;
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** The durations that are measured. */
+  /** The latencies that are measured. */
   public enum Latency {
     START("fordridge.bind"),
     EVENT_LOOP_LAG("fordridge.loop.lag"),
@@ -40,7 +40,7 @@
     }
   }
 
-  /** What shadow settings would have decided differently. */
+  /** The kinds of decisions in which the shadow scheduler differs from the scheduler. */
   public enum ShadowDifference {
     MACHINE("machine"),
     HOLD("hold"),
@@ -67,7 +67,7 @@
       new EnumMap<>(ClientResponse.Kind.class);
   private final Map<Latency, Timer> timers = new EnumMap<>(Latency.class);
 
-  /** Metrics with a registry of their own; all counters start at 0. */
+  /** Creates metrics with a new registry; all counters start at 0. */
   public Metrics() {
     for (Outcome outcome : Outcome.values()) {
       attemptOutcomes.put(
@@ -89,70 +89,71 @@
     return Timer.builder(name).publishPercentiles(MEDIAN, P99, P999).register(registry);
   }
 
-  /** An offer was sent to a machine. */
+  /** Counts an offer that was sent to a machine. */
   public void offerSent() {
     offers.increment();
   }
 
-  /** An offer that was decided could not be sent any more; the obstacle is a tag. */
+  /** Counts an offer that could no longer be sent after the decision; the obstacle is a tag. */
   public void offerWithdrawn(String obstacle) {
     registry.counter("fordridge.offers.withdrawn", "obstacle", obstacle).increment();
   }
 
-  /** A placement attempt finished. */
+  /** Counts a finished placement attempt by its outcome. */
   public void attemptFinished(Outcome outcome) {
     attemptOutcomes.get(outcome).increment();
   }
 
-  /** A final response was sent to a client. */
+  /** Counts a final response that was sent to a client. */
   public void responseSent(ClientResponse.Kind kind) {
     Counter counter = responses.get(kind);
     if (counter == null) {
-      throw new IllegalArgumentException("not a final response: " + kind);
+      throw new IllegalArgumentException(
+          "response kind is " + kind + ", not ACCEPTED, REJECTED or FAILED");
     }
     counter.increment();
   }
 
-  /** A VM was accepted so long after its request arrived. */
+  /** Records the time from the arrival of a request to the acceptance of its VM. */
   public void vmAccepted(Duration latency) {
     timers.get(Latency.START).record(latency);
   }
 
-  /** The event loop ran a task so long after it was due. */
+  /** Records the delay of a task of the event loop past its scheduled time. */
   public void eventLoopLagged(Duration lag) {
     timers.get(Latency.EVENT_LOOP_LAG).record(lag);
   }
 
-  /** The scheduler took so long for one input. */
+  /** Records the time that the scheduler took to handle one input. */
   public void decisionTook(long nanos) {
     timers.get(Latency.DECISION).record(nanos, TimeUnit.NANOSECONDS);
   }
 
-  /** A gossip message was sent. */
+  /** Counts a gossip message that was sent. */
   public void gossipSent() {
-    gossip("sent").increment();
+    gossipCounter("sent").increment();
   }
 
-  /** A gossip message was received. */
+  /** Counts a gossip message that was received. */
   public void gossipReceived() {
-    gossip("heard").increment();
+    gossipCounter("heard").increment();
   }
 
-  /** Gossip messages received so far. */
+  /** The number of gossip messages received so far. */
   public double gossipReceivedCount() {
-    return gossip("heard").count();
+    return gossipCounter("heard").count();
   }
 
-  private Counter gossip(String direction) {
+  private Counter gossipCounter(String direction) {
     return registry.counter("fordridge.notes", "way", direction);
   }
 
-  /** The shadow settings would have decided differently. */
+  /** Counts a decision in which the shadow scheduler differs. */
   public void shadowDiffered(ShadowDifference difference) {
     shadowCounter(difference).increment();
   }
 
-  /** How often the shadow settings would have decided differently. */
+  /** The number of decisions of one kind in which the shadow scheduler differed. */
   public double shadowDifferences(ShadowDifference difference) {
     return shadowCounter(difference).count();
   }
@@ -161,18 +162,18 @@
     return registry.counter("fordridge.watch.otherwise", "kind", difference.tag);
   }
 
-  /** Registers a value that is read at each scrape. */
+  /** Registers a gauge whose value is read on each scrape. */
   public void gauge(String name, Supplier<Number> value) {
     Gauge.builder(name, value).register(registry);
   }
 
-  /** Offers sent so far. */
+  /** The number of offers sent so far. */
   public double offerCount() {
     return offers.count();
   }
 
   /**
-   * A percentile of the last minutes in milliseconds; not a number where it is not published.
+   * Returns a percentile over the last minutes in milliseconds; NaN if it is not published.
    *
    * @param percentile 0.5, 0.99 or 0.999
    */
@@ -185,7 +186,7 @@
     return Double.NaN;
   }
 
-  /** All metrics in the text format of Prometheus. */
+  /** Returns all metrics in the Prometheus text format. */
   public String scrape() {
     return registry.scrape();
   }
--- a/src/main/java/fordridge/observability/MetricsServer.java
+++ b/src/main/java/fordridge/observability/MetricsServer.java
@@ -29,10 +29,10 @@
   private final Channel channel;
 
   /**
-   * Binds the port; blocks until it is bound.
+   * Starts the server; blocks until the port is bound.
    *
-   * @param port 0 for a free one
-   * @param eventLoops where connections are served; the caller closes them
+   * @param port port to listen on; 0 for any free port
+   * @param eventLoops event loops that serve connections; the caller shuts them down
    */
   public MetricsServer(int port, Metrics metrics, EventLoopGroup eventLoops) {
     channel =
@@ -45,13 +45,14 @@
             .channel();
   }
 
-  /** The port that is bound. */
+  /** The port that the server listens on. */
   public int port() {
     return ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
   @Override
-  @SuppressWarnings("FutureReturnValueIgnored") // The event loops' owner waits for their end.
+  @SuppressWarnings(
+      "FutureReturnValueIgnored") // The owner of the event loops awaits their termination.
   public void close() {
     channel.close();
   }
@@ -82,12 +83,14 @@
     }
 
     @Override
-    @SuppressWarnings("FutureReturnValueIgnored") // The listener closes, whatever the outcome.
+    @SuppressWarnings(
+        "FutureReturnValueIgnored") // The listener closes the connection on success and failure.
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       FullHttpResponse response =
           request.uri().equals(PATH)
               ? response(HttpResponseStatus.OK, metrics.scrape())
-              : response(HttpResponseStatus.NOT_FOUND, "only /metrics is here\n");
+              : response(
+                  HttpResponseStatus.NOT_FOUND, "not found; metrics are served at /metrics\n");
       context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
--- a/src/main/java/fordridge/observability/StackTraces.java
+++ b/src/main/java/fordridge/observability/StackTraces.java
@@ -3,11 +3,11 @@
 import java.io.PrintWriter;
 import java.io.StringWriter;
 
-/** Exceptions as text for logs that are plain lines. */
+/** Formats exceptions for plain text logs. */
 public final class StackTraces {
   private StackTraces() {}
 
-  /** The exception and its stack, with causes, as {@link Throwable#printStackTrace} writes them. */
+  /** Returns the output of {@link Throwable#printStackTrace}: stack trace and causes. */
   public static String format(Throwable thrown) {
     StringWriter text = new StringWriter();
     thrown.printStackTrace(new PrintWriter(text, true));
--- a/src/main/java/fordridge/settings/ClusterSettings.java
+++ b/src/main/java/fordridge/settings/ClusterSettings.java
@@ -6,25 +6,28 @@
 import java.time.Duration;
 
 /**
- * What the scheduler is configured to know of the cluster (block {@code cluster}).
+ * The behavior of the cluster that the scheduler relies on (block {@code cluster}).
  *
- * @param coreOvercommitRatio machines accept VMs up to this multiple of their cores
- * @param memoryOvercommitRatio machines accept VMs up to this multiple of their memory
+ * @param coreOvercommitRatio VMs on a machine may request up to this multiple of its cores in total
+ * @param memoryOvercommitRatio VMs on a machine may request up to this multiple of its memory in
+ *     total
  * @param acceptancePoint when a machine confirms an attempt
- * @param loadReportChannel how load reports come
- * @param freeCapacityBasis what the free capacity in a load report leaves out
- * @param isFreeCapacityListed whether the machine list names unreserved cores and memory
- * @param maxAttempts placement attempts for each request
+ * @param loadReportChannel which messages of a machine carry its load reports
+ * @param freeCapacityBasis what machines subtract from their capacity to compute the free capacity
+ *     that a load report states
+ * @param isFreeCapacityListed whether entries of the machine list state unreserved cores and memory
+ * @param maxAttempts maximum number of placement attempts for each request
  * @param hasHealthChecks whether machines answer health checks
- * @param unknownOutcomeRetryAfter retry-after of a request whose VM may be running and must not run
- *     twice
- * @param drainGracePeriod nothing new reaches a machine later than this after a drain is notified
- * @param slowStart how machines warm up
- * @param maxRetryAfter longest retry-after that clients follow
+ * @param unknownOutcomeRetryAfter retry-after sent for a request whose VM must not run twice and
+ *     may already be running
+ * @param drainGracePeriod maximum time after a drain notification within which offers may still
+ *     reach the draining machine
+ * @param slowStart start rate of machines that have just started
+ * @param maxRetryAfter longest retry-after that clients honor
  * @param sendsRetryAfter whether rejections carry a retry-after
- * @param listDelivery how the machine list comes
- * @param maxListAge without a newer list for this long, nothing new is placed
- * @param meanVmCores mean of the cores that a VM requests
+ * @param listDelivery whether the machine list is pushed or polled
+ * @param maxListAge no VM is placed while the latest machine list is older than this
+ * @param meanVmCores mean number of cores requested by a VM
  */
 public record ClusterSettings(
     double coreOvercommitRatio,
@@ -46,7 +49,7 @@
   private static final double MIN_OVERCOMMIT_RATIO = 0.1;
   private static final double MAX_OVERCOMMIT_RATIO = 100;
 
-  /** When a machine confirms an attempt. */
+  /** When a machine accepts an attempt: once the VM is running, or already on admission. */
   public enum AcceptancePoint implements ConfigWord {
     VM_RUNNING("running"),
     VM_ACCEPTED("accepted");
@@ -63,7 +66,7 @@
     }
   }
 
-  /** How load reports come. */
+  /** Which messages of a machine carry its load reports. */
   public enum LoadReportChannel implements ConfigWord {
     RESPONSES_AND_HEALTH_CHECKS("answers"),
     HEALTH_CHECKS("probes"),
@@ -81,7 +84,7 @@
     }
   }
 
-  /** What the free capacity in a load report leaves out. */
+  /** What machines subtract from their capacity to compute the free capacity they report. */
   public enum FreeCapacityBasis implements ConfigWord {
     USED("used"),
     REQUESTED("asked");
@@ -98,7 +101,7 @@
     }
   }
 
-  /** How the machine list comes. */
+  /** How the scheduler obtains new versions of the machine list. */
   public enum ListDelivery implements ConfigWord {
     PUSH("push"),
     POLL("ask");
@@ -119,9 +122,9 @@
     return new ClusterSettings(
         reader.decimal("cluster.accept.cores", MIN_OVERCOMMIT_RATIO, MAX_OVERCOMMIT_RATIO),
         reader.decimal("cluster.accept.memory", MIN_OVERCOMMIT_RATIO, MAX_OVERCOMMIT_RATIO),
-        reader.constant("cluster.yes", AcceptancePoint.values()),
-        reader.constant("cluster.reports", LoadReportChannel.values()),
-        reader.constant("cluster.report_counts", FreeCapacityBasis.values()),
+        reader.enumConstant("cluster.yes", AcceptancePoint.values()),
+        reader.enumConstant("cluster.reports", LoadReportChannel.values()),
+        reader.enumConstant("cluster.report_counts", FreeCapacityBasis.values()),
         reader.bool("cluster.free_in_list"),
         reader.integer("cluster.most_claims", 1, 100),
         reader.bool("cluster.probes"),
@@ -130,17 +133,17 @@
         SlowStartSettings.read(reader),
         reader.duration("cluster.most_retry_after", Duration.ZERO, MAX_DURATION),
         reader.bool("cluster.retry_after"),
-        reader.constant("cluster.list_comes", ListDelivery.values()),
+        reader.enumConstant("cluster.list_comes", ListDelivery.values()),
         reader.duration("cluster.ask_within", Duration.ofMillis(100), MAX_DURATION),
         reader.decimal("cluster.mean_cores", 0.001, 1e6));
   }
 
-  /** Whether machines confirm an attempt when it is accepted, before the VM runs. */
+  /** Whether machines accept an attempt on admission, before the VM is running. */
   public boolean confirmsOnAcceptance() {
     return acceptancePoint == AcceptancePoint.VM_ACCEPTED;
   }
 
-  /** Whether changes of the machine list are pushed, not polled for. */
+  /** Whether changes to the machine list are pushed to the scheduler instead of polled. */
   public boolean isListPushed() {
     return listDelivery == ListDelivery.PUSH;
   }
--- a/src/main/java/fordridge/settings/ConfigReader.java
+++ b/src/main/java/fordridge/settings/ConfigReader.java
@@ -21,15 +21,15 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * Reads typed values from one HOCON object and collects every error with file, line, key, found and
- * allowed value.
+ * Reads typed values from one HOCON object and collects an error with file, line, key, actual value
+ * and allowed values for each that is invalid.
  *
- * <p>A wrong value is replaced by the nearest bound or an empty value, so that reading goes on and
- * all errors are reported at once. Not safe for use by several threads.
+ * <p>An invalid value is replaced by a default (the lower bound, the first constant or an empty
+ * value), so that reading continues and all errors are reported together. Not thread-safe.
  */
 public final class ConfigReader {
-  /** Numbers from here on are not written as whole ones in errors. */
-  private static final double MAX_PLAIN_WHOLE_NUMBER = 1e15;
+  /** Larger whole numbers are written in floating-point notation in error messages. */
+  private static final double MAX_EXACT_WHOLE_NUMBER = 1e15;
 
   private final Config config;
   private final String pathPrefix;
@@ -37,11 +37,12 @@
   private final Set<String> knownKeys = new HashSet<>();
 
   /**
-   * A reader of one object.
+   * Creates a reader of one object.
    *
-   * @param config the object, with its defaults
-   * @param pathPrefix the object's own path with a dot behind it, for errors; empty for the root
-   * @param errors where errors are added
+   * @param config the object, already merged with its defaults
+   * @param pathPrefix path of the object with a trailing dot, for error messages; empty for the
+   *     root
+   * @param errors the list to which errors are added
    */
   public ConfigReader(Config config, String pathPrefix, List<SettingError> errors) {
     this.config = config;
@@ -49,39 +50,39 @@
     this.errors = errors;
   }
 
-  /** Adds an error on a key that was read. */
+  /** Adds an error for the value of a key. */
   public void reject(String key, String found, String allowed) {
     ConfigValue value = config.hasPathOrNull(key) ? valueAt(key) : null;
     ConfigOrigin origin = value == null ? config.root().origin() : value.origin();
     errors.add(new SettingError.InvalidValue(location(origin), pathPrefix + key, found, allowed));
   }
 
-  /** Whether an optional key is set; it is a known key either way. */
+  /** Whether an optional key is set; also marks the key as known. */
   public boolean has(String key) {
     knownKeys.add(key);
     return valueAt(key) != null;
   }
 
-  /** Makes a key known that is read elsewhere. */
+  /** Marks a key as known that this reader does not read itself. */
   public void markKnown(String key) {
     knownKeys.add(key);
   }
 
-  /** A string of at most so many characters. */
+  /** Reads a string of at most {@code maxLength} characters. */
   public String string(String key, int maxLength) {
-    String value = read(key, "", "text", () -> config.getString(key));
+    String value = read(key, "", "a string", () -> config.getString(key));
     if (value.length() > maxLength) {
       reject(key, value.length() + " characters", "at most " + maxLength);
     }
     return value;
   }
 
-  /** A list of strings. */
+  /** Reads a list of strings. */
   public List<String> strings(String key) {
-    return read(key, List.of(), "a list of texts", () -> config.getStringList(key));
+    return read(key, List.of(), "a list of strings", () -> config.getStringList(key));
   }
 
-  /** One of the words given; the first where it is none of them. */
+  /** Reads one of the given words; returns the first for any other value. */
   public String oneOf(String key, String... words) {
     String allowed = "one of " + String.join(", ", words);
     String value = read(key, words[0], allowed, () -> config.getString(key));
@@ -92,70 +93,75 @@
     return value;
   }
 
-  /** The constant whose word is set; the first one given where it is none of them. */
-  public <T extends ConfigWord> T constant(String key, T[] constants) {
+  /** Reads the word of an enum constant; returns the first constant for any other value. */
+  public <T extends ConfigWord> T enumConstant(String key, T[] constants) {
     String[] words = Arrays.stream(constants).map(ConfigWord::configWord).toArray(String[]::new);
     return constants[Arrays.asList(words).indexOf(oneOf(key, words))];
   }
 
-  /** True or false. */
+  /** Reads a boolean. */
   public boolean bool(String key) {
     return read(key, false, "true or false", () -> config.getBoolean(key));
   }
 
-  /** A whole number within bounds. */
-  public int integer(String key, int least, int most) {
-    double value = decimal(key, least, most);
+  /** Reads a whole number within inclusive bounds. */
+  public int integer(String key, int min, int max) {
+    double value = decimal(key, min, max);
     if (value != Math.rint(value)) {
-      reject(key, found(key), "a whole number");
+      reject(key, describeValue(key), "a whole number");
     }
     return (int) value;
   }
 
-  /** Any whole number. */
+  /** Reads a whole number of any size. */
   public long longInteger(String key) {
     return read(key, 0L, "a whole number", () -> config.getLong(key));
   }
 
-  /** A number within bounds. */
-  public double decimal(String key, double least, double most) {
-    String allowed = "a number from " + plain(least) + " to " + plain(most);
-    double value = read(key, least, allowed, () -> config.getDouble(key));
-    if (!(value >= least && value <= most)) {
-      reject(key, plain(value), allowed);
-      return least;
+  /** Reads a number within inclusive bounds. */
+  public double decimal(String key, double min, double max) {
+    String allowed = "a number from " + formatNumber(min) + " to " + formatNumber(max);
+    double value = read(key, min, allowed, () -> config.getDouble(key));
+    if (!(value >= min && value <= max)) {
+      reject(key, formatNumber(value), allowed);
+      return min;
     }
     return value;
   }
 
-  /** A span of time within bounds; its unit must be written. */
-  public Duration duration(String key, Duration least, Duration most) {
-    String allowed = "a span from " + inWords(least) + " to " + inWords(most) + ", as 250ms or 3s";
-    Duration value = read(key, least, allowed, () -> durationWithUnit(key));
-    if (value.compareTo(least) < 0 || value.compareTo(most) > 0) {
-      reject(key, found(key), allowed);
-      return least;
+  /** Reads a duration within inclusive bounds; a value without a unit is an error. */
+  public Duration duration(String key, Duration min, Duration max) {
+    String allowed =
+        "a duration from "
+            + formatDuration(min)
+            + " to "
+            + formatDuration(max)
+            + ", such as 250ms or 3s";
+    Duration value = read(key, min, allowed, () -> durationWithUnit(key));
+    if (value.compareTo(min) < 0 || value.compareTo(max) > 0) {
+      reject(key, describeValue(key), allowed);
+      return min;
     }
     return value;
   }
 
-  /** A number of bytes within bounds. */
-  public int byteSize(String key, int least, int most) {
-    String allowed = "a size from " + least + " to " + most + " bytes, as 64KiB";
-    long value = read(key, (long) least, allowed, () -> config.getBytes(key));
-    if (value < least || value > most) {
-      reject(key, found(key), allowed);
-      return least;
+  /** Reads a size in bytes within inclusive bounds. */
+  public int byteSize(String key, int min, int max) {
+    String allowed = "a size from " + min + " to " + max + " bytes, such as 64KiB";
+    long value = read(key, (long) min, allowed, () -> config.getBytes(key));
+    if (value < min || value > max) {
+      reject(key, describeValue(key), allowed);
+      return min;
     }
     return (int) value;
   }
 
-  /** The objects of a list, each with a reader of its own. */
+  /** Returns a reader for each object of a list. */
   public List<ConfigReader> objects(String key) {
     return objects(key, null);
   }
 
-  /** The objects of a list, each laid over the defaults that stand under another key. */
+  /** Returns a reader for each object of a list, merged with the defaults under another key. */
   public List<ConfigReader> objectsWithDefaults(String key, String defaultsKey) {
     return objects(key, config.getConfig(defaultsKey));
   }
@@ -164,7 +170,7 @@
     knownKeys.add(key);
     List<ConfigReader> readers = new ArrayList<>();
     if (!(valueAt(key) instanceof ConfigList list)) {
-      reject(key, found(key), "a list of objects");
+      reject(key, describeValue(key), "a list of objects");
       return readers;
     }
     for (int i = 0; i < list.size(); i++) {
@@ -180,7 +186,7 @@
     return readers;
   }
 
-  /** Adds an error for every key that was not read, naming the most similar known one. */
+  /** Adds an error for every unknown key, with the most similar known key as a hint. */
   public void rejectUnknownKeys() {
     rejectUnknownKeys("", config.root());
   }
@@ -229,33 +235,33 @@
     T read();
   }
 
-  private <T> T read(String key, T replacement, String allowed, ValueReader<T> reader) {
+  private <T> T read(String key, T fallback, String allowed, ValueReader<T> reader) {
     knownKeys.add(key);
     try {
       return reader.read();
     } catch (ConfigException e) {
-      reject(key, found(key), allowed);
-      return replacement;
+      reject(key, describeValue(key), allowed);
+      return fallback;
     }
   }
 
   private Duration durationWithUnit(String key) {
     ConfigValue value = valueAt(key);
     if (value != null && value.valueType() == ConfigValueType.NUMBER) {
-      throw new ConfigException.BadValue(key, "a span needs its unit");
+      throw new ConfigException.BadValue(key, "a duration needs a unit");
     }
     return config.getDuration(key);
   }
 
   private ConfigValue valueAt(String key) {
     ConfigValue value = config.root();
-    for (String step : key.split("\\.", 0)) {
-      value = value instanceof ConfigObject object ? object.get(step) : null;
+    for (String element : key.split("\\.", 0)) {
+      value = value instanceof ConfigObject object ? object.get(element) : null;
     }
     return value;
   }
 
-  private String found(String key) {
+  private String describeValue(String key) {
     ConfigValue value = valueAt(key);
     return value == null
         ? "nothing"
@@ -274,13 +280,13 @@
     return origin.resource() != null ? origin.resource() : origin.description();
   }
 
-  private static String plain(double value) {
-    return value == Math.rint(value) && Math.abs(value) < MAX_PLAIN_WHOLE_NUMBER
+  private static String formatNumber(double value) {
+    return value == Math.rint(value) && Math.abs(value) < MAX_EXACT_WHOLE_NUMBER
         ? Long.toString((long) value)
         : Double.toString(value);
   }
 
-  private static String inWords(Duration duration) {
+  private static String formatDuration(Duration duration) {
     return duration.toMillis() % 1000 == 0
         ? duration.toSeconds() + "s"
         : duration.toMillis() + "ms";
--- a/src/main/java/fordridge/settings/ConfigWord.java
+++ b/src/main/java/fordridge/settings/ConfigWord.java
@@ -1,7 +1,7 @@
 package fordridge.settings;
 
-/** A constant that settings files write as a fixed word. */
+/** An enum constant that is written as a fixed word in settings files. */
 public interface ConfigWord {
-  /** The word as it stands in a settings file. */
+  /** The word that stands for this constant in a settings file. */
   String configWord();
 }
--- a/src/main/java/fordridge/settings/ConnectionSettings.java
+++ b/src/main/java/fordridge/settings/ConnectionSettings.java
@@ -6,15 +6,17 @@
 import java.time.Duration;
 
 /**
- * Connections to machines (block {@code machines}).
+ * Settings of the connections to machines (block {@code machines}).
  *
- * @param idleTimeout a stream without an attempt on it is closed after this
- * @param minReconnectDelay first delay of the exponential backoff after a failed connect
- * @param maxReconnectDelay longest delay of that backoff
- * @param maxQueuedOffers offers not yet written to one machine; at it no further one is made there
- * @param unknownOutcomeTimeout how long a broken stream may take to come back and report whether
- *     the machine holds an attempt that must not run twice
- * @param keepaliveInterval a quiet stream is pinged after this, and closed without an answer in it
+ * @param idleTimeout a stream without pending attempts is closed after this time
+ * @param minReconnectDelay initial delay of the exponential backoff after a failed connect
+ * @param maxReconnectDelay maximum delay of that backoff
+ * @param maxQueuedOffers limit of offers to one machine that are not yet written to its stream; at
+ *     the limit the machine gets no further offers
+ * @param unknownOutcomeTimeout how long the scheduler waits for a broken stream to be
+ *     re-established and to report whether the machine holds an attempt that must not run twice
+ * @param keepaliveInterval an idle stream is pinged after this time, and closed if the ping is not
+ *     answered within the same time
  * @param maxMessageBytes larger messages are rejected, from machines and from clients
  */
 public record ConnectionSettings(
--- a/src/main/java/fordridge/settings/DeploymentSettings.java
+++ b/src/main/java/fordridge/settings/DeploymentSettings.java
@@ -22,14 +22,14 @@
  * The settings of a scheduler process, read from a HOCON file over the defaults of {@code
  * fordridge-reference.conf}.
  *
- * <p>An instance is checked whole when it is read: every value is within its range and consistent
- * with the others. It never changes and may be shared between threads.
+ * <p>All values are validated on reading: each is within its range and consistent with the others.
+ * Instances are immutable.
  */
 public final class DeploymentSettings {
-  /** A start deadline is at least this many times the response margin. */
+  /** Minimum ratio of each start deadline to the response margin. */
   private static final int MIN_DEADLINE_TO_MARGIN_RATIO = 4;
 
-  /** Room for rounding errors in the sum of the tenants' shares. */
+  /** Limit of the sum of the tenants' shares, with a tolerance for rounding errors. */
   private static final double MAX_SHARE_SUM = 1.0001;
 
   private static final String REFERENCE_FILE = "fordridge-reference.conf";
@@ -53,7 +53,7 @@
   private final LoggingSettings logging;
   private final int metricsPort;
 
-  /** Reads all values; the errors are in the reader's list. */
+  /** Reads all values; errors are added to the reader's list. */
   private DeploymentSettings(ConfigReader reader, Config configWithoutDefaults, File folder) {
     this.configWithoutDefaults = configWithoutDefaults;
     this.folder = folder;
@@ -78,7 +78,7 @@
   /**
    * Reads and checks a settings file.
    *
-   * @throws InvalidSettingsException with every error in it
+   * @throws InvalidSettingsException with all errors, if there are any
    */
   public static DeploymentSettings read(File file) throws InvalidSettingsException {
     return read(parse(file), file.getAbsoluteFile().getParentFile());
@@ -87,7 +87,7 @@
   /**
    * Parses a HOCON file without reading its values.
    *
-   * @throws InvalidSettingsException if there is no such file, or it is not HOCON
+   * @throws InvalidSettingsException if the file does not exist or is not valid HOCON
    */
   public static Config parse(File file) throws InvalidSettingsException {
     if (!file.isFile()) {
@@ -106,8 +106,8 @@
    * Reads and checks parsed settings.
    *
    * @param config the settings without defaults
-   * @param folder folder that relative paths start from
-   * @throws InvalidSettingsException with every error in them
+   * @param folder folder that relative paths are resolved against
+   * @throws InvalidSettingsException with all errors, if there are any
    */
   public static DeploymentSettings read(Config config, File folder)
       throws InvalidSettingsException {
@@ -147,7 +147,7 @@
     return Collections.unmodifiableMap(byName);
   }
 
-  /** Checks values against each other. */
+  /** Checks that values are consistent with each other. */
   private void check(ConfigReader reader) {
     checkKinds(reader);
     checkPriorityClasses(reader);
@@ -188,8 +188,8 @@
     if (!kind.isEmpty() && !kindNames().contains(kind)) {
       reader.reject(
           "flavours",
-          "'" + priorityClass.name() + "' needs kind '" + kind + "'",
-          "a kind that some machine has: " + String.join(", ", kindNames()));
+          "'" + priorityClass.name() + "' requires kind '" + kind + "'",
+          "a kind listed in kinds: " + String.join(", ", kindNames()));
     }
   }
 
@@ -209,12 +209,12 @@
   }
 
   private void checkTenants(ConfigReader reader) {
-    double shares = tenants.stream().mapToDouble(TenantShare::share).sum();
-    if (shares > MAX_SHARE_SUM) {
+    double shareSum = tenants.stream().mapToDouble(TenantShare::share).sum();
+    if (shareSum > MAX_SHARE_SUM) {
       reader.reject(
           "customers",
-          "shares of " + Math.round(shares * 1000) / 1000.0 + " in all",
-          "at most 1 in all");
+          "shares of " + Math.round(shareSum * 1000) / 1000.0 + " in total",
+          "at most 1 in total");
     }
   }
 
@@ -223,12 +223,12 @@
     return instance;
   }
 
-  /** What is retained for clients. */
+  /** Limits of what is retained for clients. */
   public SessionSettings sessions() {
     return sessions;
   }
 
-  /** Where the machine list comes from. */
+  /** The source of the machine list. */
   public MachineListSettings machineList() {
     return machineList;
   }
@@ -243,7 +243,7 @@
     return connections;
   }
 
-  /** What is configured of the cluster. */
+  /** The behavior of the cluster that the scheduler relies on. */
   public ClusterSettings cluster() {
     return cluster;
   }
@@ -253,12 +253,12 @@
     return gossip;
   }
 
-  /** Prices of what a placement causes. */
+  /** Penalties for the costs that placements cause. */
   public PriceSettings prices() {
     return prices;
   }
 
-  /** Weights of the parts of the result. */
+  /** Weights of the terms of the objective. */
   public GoalSettings goal() {
     return goal;
   }
@@ -268,14 +268,14 @@
     return kinds;
   }
 
-  /** The names of all kinds, sorted. */
+  /** The names of all kinds of machine, sorted. */
   public Set<String> kindNames() {
     Set<String> names = new TreeSet<>();
     kinds.forEach(kind -> names.add(kind.name()));
     return names;
   }
 
-  /** The priority classes by name, in the order of the settings. */
+  /** The priority classes by name, in the order of the settings file. */
   public Map<String, PriorityClassSettings> priorityClasses() {
     return priorityClasses;
   }
@@ -285,32 +285,32 @@
     return tenants;
   }
 
-  /** How the process logs. */
+  /** Log format and level of the process. */
   public LoggingSettings logging() {
     return logging;
   }
 
-  /** Port of the metrics, 0 for a free one, negative for none. */
+  /** Port of the metrics server; 0 for any free port, negative for no server. */
   public int metricsPort() {
     return metricsPort;
   }
 
-  /** How many schedulers share the cluster. */
+  /** The number of schedulers that share the cluster. */
   public int totalSchedulers() {
     return instance.totalSchedulers();
   }
 
-  /** The machine list where it is a file. */
+  /** The machine list file; used only if the source of the list is a file. */
   public File machineListFile() {
     return resolve(machineList.path());
   }
 
-  /** The tenants' constraints, if they are in a file. */
+  /** The file with the tenants' constraints, if one is configured. */
   public Optional<File> constraintsFile() {
     return optionalFile(constraintsPath);
   }
 
-  /** Settings that are evaluated in the shadow of these, without effect, if there are any. */
+  /** The file with the settings of the shadow scheduler, if one is configured. */
   public Optional<File> shadowSettingsFile() {
     return optionalFile(shadowSettingsPath);
   }
@@ -324,12 +324,12 @@
     return file.isAbsolute() ? file : new File(folder, path);
   }
 
-  /** The settings as they were written, without defaults. */
+  /** The settings as they were given, without defaults. */
   Config configWithoutDefaults() {
     return configWithoutDefaults;
   }
 
-  /** Folder that relative paths start from. */
+  /** The folder that relative paths are resolved against. */
   File folder() {
     return folder;
   }
--- a/src/main/java/fordridge/settings/EtcdSettings.java
+++ b/src/main/java/fordridge/settings/EtcdSettings.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /**
- * Access to etcd where the machine list comes from there (block {@code etcd}).
+ * Access to etcd, if it is the source of the machine list (block {@code etcd}).
  *
  * @param endpoints {@code host:port} of each endpoint, tried in turn
- * @param prefix prefix of all keys of the cluster, without a slash at its end
- * @param token sent with each call as header {@code token}; empty for none
+ * @param prefix prefix of all keys of the cluster, without a trailing slash
+ * @param token authentication token, sent as header {@code token} of each call; empty for none
  * @param leaseTtl time to live of the lease under which a scheduler registers
- * @param silenceTimeout a watch that delivers nothing for this long counts as stale
+ * @param silenceTimeout a watch that receives no response for this long is considered stale
  * @param callTimeout deadline of a single call
- * @param startTimeout the first list must have come by then
- * @param snapshotPageSize keys for each page of a snapshot
- * @param isRegistering whether the scheduler registers itself
+ * @param startTimeout timeout for the first snapshot of the machine list
+ * @param snapshotPageSize number of keys in each page of a snapshot
+ * @param isRegistering whether the scheduler registers itself in etcd
  */
 public record EtcdSettings(
     List<String> endpoints,
@@ -50,7 +50,7 @@
       checkEndpoints(reader);
     }
     if (prefix.isEmpty() || prefix.endsWith("/")) {
-      reader.reject("etcd.prefix", "'" + prefix + "'", "a path without a slash at its end");
+      reader.reject("etcd.prefix", "'" + prefix + "'", "a path without a trailing slash");
     }
   }
 
@@ -61,8 +61,7 @@
       }
     }
     if (endpoints.isEmpty()) {
-      reader.reject(
-          "etcd.endpoints", "none", "at least one host:port where machines.source is etcd");
+      reader.reject("etcd.endpoints", "none", "at least one host:port if machines.source is etcd");
     }
   }
 }
--- a/src/main/java/fordridge/settings/GoalSettings.java
+++ b/src/main/java/fordridge/settings/GoalSettings.java
@@ -1,12 +1,12 @@
 package fordridge.settings;
 
 /**
- * Weights of the parts of the result that the scheduler works for (block {@code goal}).
+ * Weights of the terms of the objective that the scheduler maximizes (block {@code goal}).
  *
- * @param overall the result over the whole run
- * @param worstWindow the result of the worst window of time
- * @param worstPriorityClass the result of the worst priority class
- * @param worstTenant the result of the worst tenant
+ * @param overall weight of the result over the whole run
+ * @param worstWindow weight of the result of the worst time window
+ * @param worstPriorityClass weight of the result of the worst priority class
+ * @param worstTenant weight of the result of the worst tenant
  */
 public record GoalSettings(
     double overall, double worstWindow, double worstPriorityClass, double worstTenant) {
@@ -26,7 +26,7 @@
 
   void check(ConfigReader reader) {
     if (overall + worstWindow + worstPriorityClass + worstTenant <= 0) {
-      reader.reject("goal", "weights that sum to 0", "at least one above 0");
+      reader.reject("goal", "weights that sum to 0", "at least one weight above 0");
     }
   }
 }
--- a/src/main/java/fordridge/settings/GossipSettings.java
+++ b/src/main/java/fordridge/settings/GossipSettings.java
@@ -5,9 +5,9 @@
 /**
  * Gossip between schedulers (key {@code cluster.notes}, block {@code placer.notes}).
  *
- * @param isEnabled whether schedulers gossip
- * @param host address that gossip is received at
- * @param port port of the first instance; 0 for a free one
+ * @param isEnabled whether schedulers exchange gossip
+ * @param host local address at which gossip is received
+ * @param port UDP port of the first instance; 0 for any free port
  * @param peers {@code host:port} of every other scheduler
  */
 public record GossipSettings(boolean isEnabled, String host, int port, List<String> peers) {
@@ -27,7 +27,7 @@
     }
     if (isEnabled && schedulerCount > 1 && peers.isEmpty()) {
       reader.reject(
-          "placer.notes.to", "none", "host:port of each other placer where cluster.notes is on");
+          "placer.notes.to", "none", "host:port of each other placer if cluster.notes is on");
     }
   }
 }
--- a/src/main/java/fordridge/settings/HostAndPort.java
+++ b/src/main/java/fordridge/settings/HostAndPort.java
@@ -3,26 +3,26 @@
 import java.net.InetSocketAddress;
 import java.util.regex.Pattern;
 
-/** Addresses written as {@code host:port}. */
+/** Validates and parses addresses of the form {@code host:port}. */
 public final class HostAndPort {
-  private static final Pattern FORM = Pattern.compile("[^:]+:[0-9]{1,5}");
+  private static final Pattern HOST_AND_PORT = Pattern.compile("[^:]+:[0-9]{1,5}");
 
   private HostAndPort() {}
 
-  /** Whether a text is a host, a colon and a number of at most five digits. */
+  /** Whether a string is a host, a colon and a number of at most five digits. */
   public static boolean hasValidForm(String hostAndPort) {
-    return FORM.matcher(hostAndPort).matches();
+    return HOST_AND_PORT.matcher(hostAndPort).matches();
   }
 
-  /** Whether a text is a host and a port that exists. */
+  /** Whether a string is {@code host:port} with a port of at most {@value Limits#MAX_PORT}. */
   public static boolean isValid(String hostAndPort) {
     return hasValidForm(hostAndPort) && port(hostAndPort) <= Limits.MAX_PORT;
   }
 
   /**
-   * The address; the host is looked up.
+   * Parses an address and resolves its host name.
    *
-   * @throws IllegalArgumentException if the text is no {@code host:port}
+   * @throws IllegalArgumentException if the string is not {@code host:port}
    */
   public static InetSocketAddress parse(String hostAndPort) {
     int colon = hostAndPort.lastIndexOf(':');
--- a/src/main/java/fordridge/settings/InstanceSettings.java
+++ b/src/main/java/fordridge/settings/InstanceSettings.java
@@ -6,18 +6,21 @@
 import java.time.Duration;
 
 /**
- * The scheduler instances of this process (block {@code placer}).
+ * Settings of the scheduler instances of this process (block {@code placer}).
  *
- * @param name name of the instance towards machines; with several, the stem of their names
- * @param count instances in this process
- * @param position place of the first instance among all schedulers of the cluster, from 0
- * @param schedulerCount schedulers of the cluster
+ * @param name name under which machines know the instance; with several instances, the prefix of
+ *     their names
+ * @param count number of instances in this process
+ * @param position index of the first instance among all schedulers of the cluster, from 0
+ * @param schedulerCount configured number of schedulers of the cluster
  * @param zone zone that the scheduler runs in; empty where zones do not matter
- * @param seed seed of random choices; 0 draws one at start
- * @param listenPort port of the first instance; 0 for a free one
- * @param maxOpenRequests requests without a final response at once; above it they are rejected
- * @param responseMargin final responses are sent this long before the client's deadline
- * @param shutdownTimeout bound of a graceful shutdown
+ * @param seed seed of the random generator; 0 for a random seed
+ * @param listenPort port of the first instance; 0 for any free port
+ * @param maxOpenRequests maximum number of requests without a final response; further ones are
+ *     rejected
+ * @param responseMargin how long before the client's deadline a final response is sent at the
+ *     latest
+ * @param shutdownTimeout maximum duration of a graceful shutdown
  */
 public record InstanceSettings(
     String name,
@@ -48,7 +51,7 @@
         reader.duration("placer.stop_within", Duration.ofMillis(100), MAX_DURATION));
   }
 
-  /** The number of schedulers that share the cluster: at least those of this process. */
+  /** The number of schedulers that share the cluster; at least the instances of this process. */
   public int totalSchedulers() {
     return Math.max(schedulerCount, count);
   }
--- a/src/main/java/fordridge/settings/InvalidSettingsException.java
+++ b/src/main/java/fordridge/settings/InvalidSettingsException.java
@@ -2,37 +2,35 @@
 
 import java.util.List;
 
-/**
- * Settings that cannot be used, with every error found in them; each is one line of the message.
- */
+/** Thrown if settings are invalid; the message has one line for each error found. */
 public final class InvalidSettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final transient List<SettingError> errors;
 
-  /** Settings with these errors. */
+  /** Creates an exception with the given errors. */
   public InvalidSettingsException(List<SettingError> errors) {
     super(String.join("\n", messages(errors)));
     this.errors = List.copyOf(errors);
   }
 
-  /** Errors that belong to no single key. */
+  /** Creates an exception with errors that belong to no single key. */
   public static InvalidSettingsException ofMessages(List<String> messages) {
     return new InvalidSettingsException(
         messages.stream().<SettingError>map(SettingError.General::new).toList());
   }
 
-  /** A single error that belongs to no single key. */
+  /** Creates an exception with one error that belongs to no single key. */
   public static InvalidSettingsException ofMessage(String message) {
     return ofMessages(List.of(message));
   }
 
-  /** Every error that was found. */
+  /** All errors that were found. */
   public List<SettingError> errors() {
     return errors;
   }
 
-  /** The errors as lines for operators. */
+  /** The message of each error, for operators. */
   public List<String> messages() {
     return messages(errors);
   }
--- a/src/main/java/fordridge/settings/Limits.java
+++ b/src/main/java/fordridge/settings/Limits.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Bounds that several sections of the settings share. */
+/** Limits that are common to several blocks of the settings. */
 final class Limits {
   static final Duration MIN_DURATION = Duration.ofMillis(1);
   static final Duration MAX_DURATION = Duration.ofHours(1);
--- a/src/main/java/fordridge/settings/LoggingSettings.java
+++ b/src/main/java/fordridge/settings/LoggingSettings.java
@@ -1,7 +1,7 @@
 package fordridge.settings;
 
 /**
- * How the process logs (block {@code logging}).
+ * Log format and level of the process (block {@code logging}).
  *
  * @param format {@code plain} or {@code json}
  * @param level {@code trace}, {@code debug}, {@code info}, {@code warn} or {@code error}
--- a/src/main/java/fordridge/settings/MachineListSettings.java
+++ b/src/main/java/fordridge/settings/MachineListSettings.java
@@ -3,14 +3,15 @@
 import java.time.Duration;
 
 /**
- * Where the machine list comes from (block {@code machines}).
+ * The source of the machine list (block {@code machines}).
  *
- * @param origin the kind of source
- * @param path path of the list where it is a file, relative to the settings file
- * @param pollInterval how often files are looked at for changes
+ * @param origin the type of the source
+ * @param path path of the machine list file, relative to the settings file; used if the source is a
+ *     file
+ * @param pollInterval interval at which files are checked for changes
  */
 public record MachineListSettings(Origin origin, String path, Duration pollInterval) {
-  /** The kinds of source. */
+  /** The types of machine list sources. */
   public enum Origin implements ConfigWord {
     FILE("file"),
     ETCD("etcd");
@@ -29,12 +30,12 @@
 
   static MachineListSettings read(ConfigReader reader) {
     return new MachineListSettings(
-        reader.constant("machines.source", Origin.values()),
+        reader.enumConstant("machines.source", Origin.values()),
         reader.string("machines.list", Limits.MAX_PATH_LENGTH),
         reader.duration("machines.poll", Duration.ofMillis(10), Duration.ofMinutes(1)));
   }
 
-  /** Whether the list comes from etcd. */
+  /** Whether the machine list is read from etcd. */
   public boolean isInEtcd() {
     return origin == Origin.ETCD;
   }
--- a/src/main/java/fordridge/settings/PriceSettings.java
+++ b/src/main/java/fordridge/settings/PriceSettings.java
@@ -1,14 +1,14 @@
 package fordridge.settings;
 
 /**
- * Points taken off the result (block {@code prices}); 0 where a thing costs nothing.
+ * Penalties that are subtracted from the objective (block {@code prices}); 0 for no penalty.
  *
- * @param machines for machines in use beyond those needed
- * @param otherZone for VMs outside the scheduler's zone
- * @param migrations for migrated VMs
- * @param waste for wasted work
- * @param healthCheck for one health check
- * @param gossip for one full gossip message for each VM
+ * @param machines penalty for machines in use beyond those needed
+ * @param otherZone penalty for VMs outside the scheduler's zone
+ * @param migrations penalty for migrated VMs
+ * @param waste penalty for wasted work
+ * @param healthCheck penalty for one health check
+ * @param gossip penalty for one full gossip message for each VM
  */
 public record PriceSettings(
     double machines,
--- a/src/main/java/fordridge/settings/PriorityClassSettings.java
+++ b/src/main/java/fordridge/settings/PriorityClassSettings.java
@@ -10,18 +10,19 @@
  * A priority class of VMs (an entry of {@code flavours}).
  *
  * @param retrySafety whether a VM may be started twice
- * @param deduplicationScope machines that recognise a repeated idempotency key
- * @param deduplicationWindow for how long they recognise it
- * @param startLatencyObjective a VM should run within this
- * @param startDeadline a VM that does not run within this has failed
+ * @param deduplicationScope the set of machines within which a repeated idempotency key is
+ *     recognized
+ * @param deduplicationWindow how long an idempotency key is remembered
+ * @param startLatencyObjective a VM should be running within this time after its request
+ * @param startDeadline a VM that is not running within this time has failed
  * @param priority rank from 0 to 3, for cores, evictions and preemption
- * @param requiredKind kind of machine that it cannot run without; empty for any
- * @param spreadScope where the number of VMs of one service is limited
- * @param maxPerSpreadScope that limit
- * @param fullSpeedUtilization VMs run at full speed up to this utilization of the cores
- * @param degradationSpan further utilization over which their speed falls to nothing
- * @param startValueSeconds seconds of service that a start within the objective is worth
- * @param priorityWeight what a second of full service is worth, at mean size
+ * @param requiredKind kind of machine that VMs of this class must run on; empty for any
+ * @param spreadScope topology domain within which the number of VMs of one service is limited
+ * @param maxPerSpreadScope maximum number of VMs of one service in one such domain
+ * @param fullSpeedUtilization VMs run at full speed up to this core utilization of their machine
+ * @param degradationSpan range of utilization above that, over which the speed of VMs falls to zero
+ * @param startValueSeconds value of a start within the objective, in seconds of running time
+ * @param priorityWeight value of one second at full speed for a VM of mean size
  */
 public record PriorityClassSettings(
     String name,
@@ -55,7 +56,10 @@
           "start_worth",
           "revenue");
 
-  /** Whether a VM may be started twice. The strictest comes first, as the default. */
+  /**
+   * Whether a VM may be started twice. The strictest constant comes first, as it replaces an
+   * invalid value.
+   */
   public enum RetrySafety implements ConfigWord {
     NON_IDEMPOTENT("one-shot"),
     IDEMPOTENT_WITH_KEY("tokened"),
@@ -73,7 +77,7 @@
     }
   }
 
-  /** Machines that recognise a repeated idempotency key. */
+  /** The set of machines within which a repeated idempotency key is recognized. */
   public enum DeduplicationScope implements ConfigWord {
     CELL("cell"),
     ZONE("zone"),
@@ -91,7 +95,7 @@
     }
   }
 
-  /** Where the number of VMs of one service is limited. */
+  /** The topology domain within which the number of VMs of one service is limited. */
   public enum SpreadScope implements ConfigWord {
     OFF("off"),
     MACHINE("machine"),
@@ -114,14 +118,14 @@
     PriorityClassSettings priorityClass =
         new PriorityClassSettings(
             reader.string("name", Limits.MAX_NAME_LENGTH),
-            reader.constant("effect", RetrySafety.values()),
-            reader.constant("group", DeduplicationScope.values()),
+            reader.enumConstant("effect", RetrySafety.values()),
+            reader.enumConstant("group", DeduplicationScope.values()),
             reader.duration("window", Duration.ZERO, MAX_DURATION),
             reader.duration("build_target", MIN_DURATION, MAX_DURATION),
             reader.duration("build_timeout", MIN_DURATION, MAX_DURATION),
             reader.integer("priority", 0, 3),
             reader.string("kind", Limits.MAX_NAME_LENGTH),
-            reader.constant("spread", SpreadScope.values()),
+            reader.enumConstant("spread", SpreadScope.values()),
             reader.integer("most", 1, 1_000_000),
             reader.decimal("calm", 0, 1),
             reader.decimal("fade", 0, 10),
@@ -131,7 +135,7 @@
     return priorityClass;
   }
 
-  /** Makes the keys of the defaults known, also where no priority class takes them. */
+  /** Marks the keys of the class defaults as known, even if no priority class uses them. */
   static void markDefaultsKnown(ConfigReader root) {
     KEYS_WITH_DEFAULTS.forEach(key -> root.markKnown(DEFAULTS_KEY + "." + key));
   }
--- a/src/main/java/fordridge/settings/SchedulerSettingsMapper.java
+++ b/src/main/java/fordridge/settings/SchedulerSettingsMapper.java
@@ -12,17 +12,17 @@
 import java.time.temporal.ChronoUnit;
 import java.util.List;
 
-/** Turns the settings of a deployment into those that the scheduler decides by. */
+/** Converts the settings of a deployment to the settings of the scheduling algorithm. */
 public final class SchedulerSettingsMapper {
-  /** What all VMs belong to where no tenants are configured. */
+  /** The tenant of all VMs if no tenants are configured. */
   private static final String NO_TENANT = "";
 
   private SchedulerSettingsMapper() {}
 
   /**
-   * The settings of one scheduler of a deployment.
+   * Returns the settings of one scheduler of a deployment.
    *
-   * @param position the scheduler's place among all of the cluster, from 0
+   * @param position index of the scheduler among all schedulers of the cluster, from 0
    */
   public static SchedulerSettings of(DeploymentSettings deployment, int position) {
     ClusterSettings cluster = deployment.cluster();
@@ -35,9 +35,10 @@
             .map(SchedulerSettingsMapper::priorityClass)
             .toList(),
         tenants(deployment),
-        wholeMicros(cluster.unknownOutcomeRetryAfter()),
+        truncateToMicros(cluster.unknownOutcomeRetryAfter()),
         capacity(cluster),
-        new SchedulerSettings.Discovery(discoveryMode(cluster), wholeMicros(cluster.maxListAge())),
+        new SchedulerSettings.Discovery(
+            discoveryMode(cluster), truncateToMicros(cluster.maxListAge())),
         new SchedulerSettings.Attempts(
             cluster.maxAttempts(), cluster.sendsRetryAfter(), acceptanceMode(cluster)),
         slowStart(cluster.slowStart()),
@@ -52,9 +53,9 @@
         settings.priority(),
         retrySafety(settings.retrySafety()),
         idempotencyScope(settings.deduplicationScope()),
-        wholeMicros(settings.deduplicationWindow()),
-        wholeMicros(settings.startLatencyObjective()),
-        wholeMicros(settings.startDeadline()),
+        truncateToMicros(settings.deduplicationWindow()),
+        truncateToMicros(settings.startLatencyObjective()),
+        truncateToMicros(settings.startDeadline()),
         settings.requiredKind().isEmpty() ? null : settings.requiredKind(),
         spreadDomain(settings.spreadScope()),
         settings.maxPerSpreadScope(),
@@ -116,8 +117,8 @@
 
   private static SchedulerSettings.SlowStart slowStart(SlowStartSettings settings) {
     return new SchedulerSettings.SlowStart(
-        wholeMicros(settings.warmUpTime()),
-        wholeMicros(settings.overloadWindow()),
+        truncateToMicros(settings.warmUpTime()),
+        truncateToMicros(settings.overloadWindow()),
         settings.initialStartRate(),
         settings.minOffersInWindow());
   }
@@ -134,8 +135,10 @@
     return new SchedulerSettings.Prices(prices.machines(), prices.otherZone(), prices.gossip());
   }
 
-  /** The scheduler counts in microseconds, as its other sources of settings do. */
-  private static Duration wholeMicros(Duration duration) {
+  /**
+   * Truncates to microseconds, the resolution that the scheduler's other sources of settings use.
+   */
+  private static Duration truncateToMicros(Duration duration) {
     return duration.truncatedTo(ChronoUnit.MICROS);
   }
 }
--- a/src/main/java/fordridge/settings/SessionSettings.java
+++ b/src/main/java/fordridge/settings/SessionSettings.java
@@ -3,12 +3,13 @@
 import java.time.Duration;
 
 /**
- * What is retained for clients (block {@code sessions}).
+ * Limits of the state that is retained for clients (block {@code sessions}).
  *
- * @param retention an absent client with no open request is forgotten after this
- * @param maxRetainedResponses final responses retained for all clients together
- * @param maxUnreadResponses responses that one client may leave unread
- * @param maxOpenRequests open requests of one client
+ * @param retention the session of a disconnected client without open requests is deleted after this
+ *     time
+ * @param maxRetainedResponses maximum number of final responses retained, over all clients
+ * @param maxUnreadResponses maximum number of responses that one client has not read
+ * @param maxOpenRequests maximum number of open requests of one client
  */
 public record SessionSettings(
     Duration retention, int maxRetainedResponses, int maxUnreadResponses, int maxOpenRequests) {
--- a/src/main/java/fordridge/settings/SettingError.java
+++ b/src/main/java/fordridge/settings/SettingError.java
@@ -1,17 +1,17 @@
 package fordridge.settings;
 
-/** One reason why settings cannot be used; {@link #message()} is what operators read. */
+/** One reason why settings are invalid. */
 public sealed interface SettingError {
-  /** The whole error in one line. */
+  /** A one-line description for operators. */
   String message();
 
   /**
-   * A value that is out of range, of the wrong type, missing, or at odds with another value.
+   * A value that is out of range, of the wrong type, missing, or inconsistent with another value.
    *
-   * @param location file and line as {@code file:line: }, or an empty text where neither is known
-   * @param path the key's whole path
-   * @param found the offending value
-   * @param allowed what would be right
+   * @param location file and line as {@code file:line: }, or an empty string if neither is known
+   * @param path full path of the key
+   * @param found the invalid value
+   * @param allowed description of the valid values
    */
   record InvalidValue(String location, String path, String found, String allowed)
       implements SettingError {
@@ -25,17 +25,17 @@
    * A key that does not exist.
    *
    * @param location file and line as {@code file:line: }
-   * @param path the key's whole path
-   * @param nearestKey the most similar key that exists; empty where there is none
+   * @param path full path of the key
+   * @param nearestKey the most similar valid key; empty if there is none
    */
   record UnknownKey(String location, String path, String nearestKey) implements SettingError {
     @Override
     public String message() {
-      String hint = nearestKey.isEmpty() ? "" : "; the nearest known one is " + nearestKey;
+      String hint = nearestKey.isEmpty() ? "" : "; did you mean " + nearestKey + "?";
       return location + path + ": unknown key" + hint;
     }
   }
 
-  /** Any other reason, as a missing file or a syntax error. */
+  /** Any other error, such as a missing file or a syntax error. */
   record General(String message) implements SettingError {}
 }
--- a/src/main/java/fordridge/settings/SettingsUpdate.java
+++ b/src/main/java/fordridge/settings/SettingsUpdate.java
@@ -10,14 +10,14 @@
 import java.util.TreeSet;
 
 /**
- * Applies an update of the cluster's settings to a running scheduler.
+ * Applies an update of the shared settings of a cluster to a running scheduler.
  *
- * <p>The update is laid over the scheduler's own settings, checked whole, and rejected whole: where
- * it names settings that belong to a single scheduler, and where it would break a promise to VMs
- * that are in flight or running.
+ * <p>The update overrides the scheduler's own settings, and is either applied or rejected as a
+ * whole. It is rejected if the resulting settings are invalid, if it has settings that belong to a
+ * single scheduler, or if it changes what VMs in flight or running were placed under.
  */
 public final class SettingsUpdate {
-  /** Blocks that are the same for all schedulers of the cluster. */
+  /** Top-level keys that all schedulers of the cluster share. */
   private static final Set<String> SHARED_BLOCKS =
       new TreeSet<>(
           Set.of(
@@ -26,22 +26,23 @@
   private SettingsUpdate() {}
 
   /**
-   * The settings after the update.
+   * Returns the settings after the update.
    *
-   * @param own the scheduler's own settings, without any update
-   * @param current the settings in force
+   * @param ownSettings the settings that the scheduler was started with, without any update
+   * @param currentSettings the settings currently in effect
    * @param update the update, in HOCON
-   * @throws InvalidSettingsException with every reason why the update cannot be applied
+   * @throws InvalidSettingsException with all reasons why the update cannot be applied
    */
   public static DeploymentSettings apply(
-      DeploymentSettings own, DeploymentSettings current, String update)
+      DeploymentSettings ownSettings, DeploymentSettings currentSettings, String update)
       throws InvalidSettingsException {
-    Config shared = parse(update);
-    throwIfAny(foreignBlocks(shared));
-    DeploymentSettings next =
-        DeploymentSettings.read(shared.withFallback(own.configWithoutDefaults()), own.folder());
-    throwIfAny(incompatibilities(current, next));
-    return next;
+    Config sharedSettings = parse(update);
+    throwIfAny(unsharedBlockErrors(sharedSettings));
+    DeploymentSettings newSettings =
+        DeploymentSettings.read(
+            sharedSettings.withFallback(ownSettings.configWithoutDefaults()), ownSettings.folder());
+    throwIfAny(incompatibilityErrors(currentSettings, newSettings));
+    return newSettings;
   }
 
   private static Config parse(String update) throws InvalidSettingsException {
@@ -52,42 +53,44 @@
     }
   }
 
-  private static List<String> foreignBlocks(Config shared) {
-    return shared.root().keySet().stream()
+  private static List<String> unsharedBlockErrors(Config sharedSettings) {
+    return sharedSettings.root().keySet().stream()
         .filter(key -> !SHARED_BLOCKS.contains(key))
         .sorted()
         .map(
             key ->
                 "terms: "
                     + key
-                    + ": found, allowed: "
+                    + ": not a shared setting, allowed: "
                     + String.join(", ", SHARED_BLOCKS)
-                    + "; the rest is each placer's own")
+                    + "; all others are each placer's own")
         .toList();
   }
 
-  private static List<String> incompatibilities(
-      DeploymentSettings current, DeploymentSettings next) {
+  private static List<String> incompatibilityErrors(
+      DeploymentSettings currentSettings, DeploymentSettings newSettings) {
     List<String> errors = new ArrayList<>();
-    for (PriorityClassSettings before : current.priorityClasses().values()) {
-      PriorityClassSettings after = next.priorityClasses().get(before.name());
+    for (PriorityClassSettings before : currentSettings.priorityClasses().values()) {
+      PriorityClassSettings after = newSettings.priorityClasses().get(before.name());
       if (after == null) {
-        errors.add("flavour '" + before.name() + "' is missing: VMs of it may be in hand");
+        errors.add(
+            "flavour '" + before.name() + "' is missing: VMs of it may be pending or running");
       } else if (!isCompatible(before, after)) {
         errors.add(
             "flavour '"
                 + before.name()
-                + "' changes its effect, group, window or spread: VMs in hand were sent "
-                + "by the old one; give the new one another name");
+                + "' changes its effect, group, window or spread, which VMs that are pending or "
+                + "running were placed under; use a new name for the changed flavour");
       }
     }
-    for (MachineKind kind : current.kinds()) {
-      if (!next.kindNames().contains(kind.name())) {
-        errors.add("kind '" + kind.name() + "' is missing: machines of it may be listed");
+    for (MachineKind kind : currentSettings.kinds()) {
+      if (!newSettings.kindNames().contains(kind.name())) {
+        errors.add(
+            "kind '" + kind.name() + "' is missing: the machine list may have machines of it");
       }
     }
-    if (next.cluster().acceptancePoint() != current.cluster().acceptancePoint()) {
-      errors.add("cluster.yes changes: claims under way would be read wrongly");
+    if (newSettings.cluster().acceptancePoint() != currentSettings.cluster().acceptancePoint()) {
+      errors.add("cluster.yes changes: responses to pending attempts would be misinterpreted");
     }
     return errors;
   }
--- a/src/main/java/fordridge/settings/SlowStartSettings.java
+++ b/src/main/java/fordridge/settings/SlowStartSettings.java
@@ -6,14 +6,15 @@
 import java.time.Duration;
 
 /**
- * How a machine warms up after its start, and when it is overloaded then (block {@code
- * cluster.cold}).
+ * Slow start of machines: how their start rate ramps up, and when they are overloaded meanwhile
+ * (block {@code cluster.cold}).
  *
- * @param initialStartRate part of the full start rate that a new machine has
- * @param warmUpTime after this it has its full start rate
- * @param overloadMultiple offers above this multiple of its start rate overload it
- * @param overloadWindow span over which those offers are counted
- * @param minOffersInWindow offers within that span that it bears in any case
+ * @param initialStartRate fraction of its full start rate that a machine has right after its start
+ * @param warmUpTime time after which a machine has its full start rate
+ * @param overloadMultiple a machine is overloaded by offers above this multiple of its current
+ *     start rate
+ * @param overloadWindow time window over which those offers are counted
+ * @param minOffersInWindow number of offers within that window that never overload a machine
  */
 public record SlowStartSettings(
     double initialStartRate,
--- a/src/main/java/fordridge/settings/TenantShare.java
+++ b/src/main/java/fordridge/settings/TenantShare.java
@@ -3,7 +3,7 @@
 /**
  * A tenant and its share of the cluster.
  *
- * @param share part of the cluster, from 0 to 1
+ * @param share fraction of the cluster, from 0 to 1
  */
 public record TenantShare(String name, double share) {
   static TenantShare read(ConfigReader reader) {
--- a/src/test/java/fordridge/etcd/JetcdTest.java
+++ b/src/test/java/fordridge/etcd/JetcdTest.java
@@ -28,7 +28,7 @@
 import org.awaitility.Awaitility;
 import org.awaitility.core.ConditionFactory;
 
-/** The emulated etcd serves jetcd, a client that is developed elsewhere, as etcd does. */
+/** Tests the emulated etcd with jetcd, an independent client, for compatibility with etcd. */
 class JetcdTest {
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
   private static final String PREFIX = "a/";
--- a/src/test/java/fordridge/membership/MachineListReplicaTest.java
+++ b/src/test/java/fordridge/membership/MachineListReplicaTest.java
@@ -103,7 +103,7 @@
   }
 
   @Example
-  void keyDeletedAndCreatedInAGapIsAnotherMachine() {
+  void keyRecreatedWhileDisconnectedIsANewMachine() {
     MachineListReplica replica = replicaOf(machine("a", 5, 5, 1), machine("b", 6, 6, 1));
     replica.takeUpdates();
     replica.connectionLost();
@@ -114,7 +114,7 @@
   }
 
   @Example
-  void machineThatReturnedUnderItsNameIsNewOnlyOnce() {
+  void recreatedMachineIsNewInOneUpdateOnly() {
     MachineListReplica replica = replicaOf(machine("a", 5, 5, 1));
     replica.takeUpdates();
     replica.recordDeleted(KEYS.machine("a"), 11, START);
@@ -126,7 +126,7 @@
   }
 
   @Example
-  void drainThatArrivesAsTheMachineRestartsHolds() {
+  void drainAppliesToARestartedMachine() {
     MachineListReplica replica = replicaOf(machine("a", 5, 5, 1));
     replica.takeUpdates();
     replica.recordPut(drain("a", 12, 12), START);
@@ -147,7 +147,7 @@
   }
 
   @Example
-  void olderEventNeverUndoesANewerOne() {
+  void olderEventIsIgnored() {
     MachineListReplica replica = replicaOf(machine("a", 5, 5, 1), drain("a", 9, 9));
     deleteDrain(replica, "a", 8);
     assertThat(lifecycles(replica)).containsEntry("a", Lifecycle.DRAINING);
@@ -157,7 +157,7 @@
   }
 
   @Example
-  void unreadableRecordIsReportedAndTheLastGoodOneStays() {
+  void unreadableRecordIsReportedAndTheLastValidOneStays() {
     MachineListReplica replica = replicaOf(machine("a", 5, 5, 1));
     replica.recordPut(unreadable(machine("a", 12, 5, 1), "no address"), START);
     assertThat(lifecycles(replica)).containsEntry("a", Lifecycle.LIVE);
@@ -165,7 +165,7 @@
         .anyMatch(w -> w.contains("/c/machines/a") && w.contains("no address"));
     replica.recordPut(unreadable(drain("a", 13, 13), "not JSON"), START);
     assertThat(lifecycles(replica))
-        .as("a drain that cannot be read is a drain")
+        .as("an unreadable drain record drains the machine")
         .containsEntry("a", Lifecycle.DRAINING);
   }
 
@@ -180,7 +180,7 @@
   }
 
   @Example
-  void silenceMakesTheReplicaStaleAndProgressMakesItCurrent() {
+  void silenceMakesTheReplicaStaleAndProgressMakesItInSync() {
     MachineListReplica replica = replicaOf();
     assertThat(replica.checkSilence(Duration.ofMillis(1900))).isFalse();
     assertThat(replica.checkSilence(Duration.ofSeconds(2))).isTrue();
@@ -190,28 +190,28 @@
   }
 
   /**
-   * Two registrations that expire at once may both be of schedulers that run: no share rises before
-   * they are surely gone.
+   * Schedulers whose registrations expire may still be running: the count decreases, and with it
+   * the shares of the others rise, only after a delay.
    */
   @Example
-  void decreasingSchedulerCountRaisesNoShareEarly() {
+  void schedulerCountDecreasesOnlyAfterTheDelay() {
     SchedulerCount count = new SchedulerCount(1, Duration.ofSeconds(10));
-    assertThat(count.registrationsCounted(5, START)).isEqualTo(5);
-    assertThat(count.registrationsCounted(3, Duration.ofSeconds(1))).isEqualTo(5);
-    assertThat(count.registrationsCounted(5, Duration.ofSeconds(3))).isEqualTo(5);
-    assertThat(count.registrationsCounted(3, Duration.ofSeconds(4))).isEqualTo(5);
-    assertThat(count.registrationsCounted(3, Duration.ofSeconds(23))).isEqualTo(5);
+    assertThat(count.updateRegistrations(5, START)).isEqualTo(5);
+    assertThat(count.updateRegistrations(3, Duration.ofSeconds(1))).isEqualTo(5);
+    assertThat(count.updateRegistrations(5, Duration.ofSeconds(3))).isEqualTo(5);
+    assertThat(count.updateRegistrations(3, Duration.ofSeconds(4))).isEqualTo(5);
+    assertThat(count.updateRegistrations(3, Duration.ofSeconds(23))).isEqualTo(5);
     count.connectionLost();
-    assertThat(count.registrationsCounted(2, Duration.ofSeconds(25))).isEqualTo(5);
-    assertThat(count.registrationsCounted(4, Duration.ofSeconds(30))).isEqualTo(5);
-    assertThat(count.registrationsCounted(3, Duration.ofSeconds(45)))
-        .as("the most seen while waiting")
+    assertThat(count.updateRegistrations(2, Duration.ofSeconds(25))).isEqualTo(5);
+    assertThat(count.updateRegistrations(4, Duration.ofSeconds(30))).isEqualTo(5);
+    assertThat(count.updateRegistrations(3, Duration.ofSeconds(45)))
+        .as("the highest count during the delay")
         .isEqualTo(4);
   }
 
   /**
-   * After any legal sequence of events, repeats, gaps and snapshots the replica equals the store,
-   * and no drain is forgotten.
+   * After any sequence of changes, duplicated and missed events, and snapshots, the replica has the
+   * machines and drains of the store.
    */
   @Property(tries = 500, seed = "321")
   void replicaEndsEqualToTheStore(@ForAll long seed) {
@@ -236,7 +236,7 @@
     assertThat(lifecycles(replica)).isEqualTo(store.lifecycles());
   }
 
-  /** A store of machines and drains that change at random, with the log of its changes. */
+  /** A store in which machines and drains change at random, with a log of all changes. */
   private static final class RandomStore {
     private record Change(StoreRecord record, boolean isDeletion) {}
 
@@ -272,7 +272,7 @@
       log.add(new Change(record, isDeletion));
     }
 
-    /** What was not delivered never is; some changes before the snapshot may be once more. */
+    /** Skips undelivered changes; up to 3 changes before the snapshot are delivered again. */
     void skipToSnapshot() {
       deliveredChanges = Math.max(0, log.size() - random.nextInt(4));
     }
--- a/src/test/java/fordridge/settings/DeploymentSettingsTest.java
+++ b/src/test/java/fordridge/settings/DeploymentSettingsTest.java
@@ -15,19 +15,19 @@
 import net.jqwik.api.Example;
 
 class DeploymentSettingsTest {
-  private static final String GOOD =
+  private static final String VALID_SETTINGS =
       """
       kinds = [{ name = std, cores = 8, memory = 16 }]
       flavours = [{ name = f, effect = rebuildable, build_target = 600ms, build_timeout = 5s }]
       """;
 
   private static File file(String text) throws IOException {
-    Path f = Files.createTempFile("fordridge", ".conf");
-    f.toFile().deleteOnExit();
-    return Files.writeString(f, text).toFile();
+    Path path = Files.createTempFile("fordridge", ".conf");
+    path.toFile().deleteOnExit();
+    return Files.writeString(path, text).toFile();
   }
 
-  private static List<String> complaints(String text) throws IOException {
+  private static List<String> readErrors(String text) throws IOException {
     try {
       DeploymentSettings.read(file(text));
       return List.of();
@@ -37,141 +37,155 @@
   }
 
   @Example
-  void goodOnesAreReadWithDefaults() throws Exception {
-    DeploymentSettings d = DeploymentSettings.read(file(GOOD));
-    assertThat(d.priorityClasses().get("f").isIdempotent()).isTrue();
-    SchedulerSettings t = SchedulerSettingsMapper.of(d, 3);
-    assertThat(t.priorityClasses().get(0).retrySafety()).isEqualTo(RetrySafety.IDEMPOTENT);
-    assertThat(t.priorityClasses().get(0).startObjective()).isEqualTo(Duration.ofMillis(600));
-    assertThat(t.position()).isEqualTo(3);
-    assertThat(t.machineKinds().get(0).cores()).isEqualTo(8.0);
+  void validSettingsAreReadWithDefaults() throws Exception {
+    DeploymentSettings deployment = DeploymentSettings.read(file(VALID_SETTINGS));
+    assertThat(deployment.priorityClasses().get("f").isIdempotent()).isTrue();
+    SchedulerSettings scheduler = SchedulerSettingsMapper.of(deployment, 3);
+    assertThat(scheduler.priorityClasses().get(0).retrySafety()).isEqualTo(RetrySafety.IDEMPOTENT);
+    assertThat(scheduler.priorityClasses().get(0).startObjective())
+        .isEqualTo(Duration.ofMillis(600));
+    assertThat(scheduler.position()).isEqualTo(3);
+    assertThat(scheduler.machineKinds().get(0).cores()).isEqualTo(8.0);
   }
 
   @Example
-  void aForgottenEffectIsTheStrictest() throws Exception {
-    DeploymentSettings d =
-        DeploymentSettings.read(file(GOOD.replace("effect = rebuildable, ", "")));
-    assertThat(SchedulerSettingsMapper.of(d, 0).priorityClasses().get(0).retrySafety())
+  void missingRetrySafetyDefaultsToTheStrictest() throws Exception {
+    DeploymentSettings deployment =
+        DeploymentSettings.read(file(VALID_SETTINGS.replace("effect = rebuildable, ", "")));
+    assertThat(SchedulerSettingsMapper.of(deployment, 0).priorityClasses().get(0).retrySafety())
         .isEqualTo(RetrySafety.NON_IDEMPOTENT);
   }
 
   @Example
-  void everyErrorComesAtOnceWithPlaceKeyFoundAndAllowed() throws Exception {
-    List<String> c =
-        complaints(
-            GOOD
+  void allErrorsAreReportedWithLineKeyActualAndAllowedValue() throws Exception {
+    List<String> errors =
+        readErrors(
+            VALID_SETTINGS
                 + "placer.max_open = many\nplacer.answr_margin = 60ms\nmachines.line = 0\n"
                 + "machines.idle = 15\ncluster.yes = perhaps\n");
-    assertThat(c.size()).isEqualTo(5);
-    assertThat(c)
+    assertThat(errors.size()).isEqualTo(5);
+    assertThat(errors)
         .anyMatch(l -> l.contains(":3: placer.max_open: found many") && l.contains("allowed"));
-    assertThat(c)
+    assertThat(errors)
         .anyMatch(
             l ->
                 l.contains(":4: placer.answr_margin: unknown key")
                     && l.contains("placer.answer_margin"));
-    assertThat(c).anyMatch(l -> l.contains(":5: machines.line: found 0"));
-    assertThat(c).anyMatch(l -> l.contains(":6: machines.idle: found 15") && l.contains("250ms"));
-    assertThat(c)
+    assertThat(errors).anyMatch(l -> l.contains(":5: machines.line: found 0"));
+    assertThat(errors)
+        .anyMatch(l -> l.contains(":6: machines.idle: found 15") && l.contains("250ms"));
+    assertThat(errors)
         .anyMatch(
             l -> l.contains(":7: cluster.yes: found 'perhaps'") && l.contains("running, accepted"));
   }
 
   @Example
-  void valuesAreHeldAgainstEachOther() throws Exception {
-    assertThat(complaints(GOOD.replace("effect", "kind = huge, effect")))
+  void inconsistentValuesAreRejected() throws Exception {
+    assertThat(readErrors(VALID_SETTINGS.replace("effect", "kind = huge, effect")))
         .anyMatch(l -> l.contains("kind 'huge'"));
-    assertThat(complaints(GOOD.replace("600ms", "6s")))
+    assertThat(readErrors(VALID_SETTINGS.replace("600ms", "6s")))
         .anyMatch(l -> l.contains("past its build_timeout"));
     assertThat(
-            complaints(GOOD + "customers = [{name = a, share = 0.7}, {name = b, share = 0.6}]\n"))
+            readErrors(
+                VALID_SETTINGS
+                    + "customers = [{name = a, share = 0.7}, {name = b, share = 0.6}]\n"))
         .anyMatch(l -> l.contains("shares of 1.3"));
-    assertThat(complaints(GOOD + "placer { position = 4, placers = 3 }\n"))
+    assertThat(readErrors(VALID_SETTINGS + "placer { position = 4, placers = 3 }\n"))
         .anyMatch(l -> l.contains("placer.position"));
-    assertThat(complaints(GOOD + "flavours = ${flavours} [{ name = f }]\n"))
+    assertThat(readErrors(VALID_SETTINGS + "flavours = ${flavours} [{ name = f }]\n"))
         .anyMatch(l -> l.contains("twice"));
   }
 
-  /** What the module was told before these could be set stays what it is told by default. */
+  /** The defaults equal the fixed values that were used before these settings existed. */
   @Example
-  void theShapeOfADeploymentIsPassedOnAndItsDefaultsAreWhatHeldBefore() throws Exception {
-    SchedulerSettings t = SchedulerSettingsMapper.of(DeploymentSettings.read(file(GOOD)), 0);
-    assertThat(t.attempts().sendsRetryAfter()).isTrue();
-    assertThat(t.monitoring().gossipAllowed()).isFalse();
-    assertThat(t.discovery().mode()).isEqualTo(SchedulerSettings.DiscoveryMode.PUSH);
-    assertThat(t.discovery().pollInterval()).isEqualTo(Duration.ofSeconds(10));
-    t =
+  void clusterSettingsReachTheSchedulerAndKeepTheirDefaults() throws Exception {
+    SchedulerSettings scheduler =
+        SchedulerSettingsMapper.of(DeploymentSettings.read(file(VALID_SETTINGS)), 0);
+    assertThat(scheduler.attempts().sendsRetryAfter()).isTrue();
+    assertThat(scheduler.monitoring().gossipAllowed()).isFalse();
+    assertThat(scheduler.discovery().mode()).isEqualTo(SchedulerSettings.DiscoveryMode.PUSH);
+    assertThat(scheduler.discovery().pollInterval()).isEqualTo(Duration.ofSeconds(10));
+    scheduler =
         SchedulerSettingsMapper.of(
             DeploymentSettings.read(
                 file(
-                    GOOD
+                    VALID_SETTINGS
                         + "cluster { retry_after = false, list_comes = ask, "
                         + "ask_within = 20s, notes = true, mean_cores = 1.5 }\nprices.note = 0.01\n")),
             0);
-    assertThat(t.attempts().sendsRetryAfter()).isFalse();
-    assertThat(t.monitoring().gossipAllowed()).isTrue();
-    assertThat(t.discovery().mode()).isEqualTo(SchedulerSettings.DiscoveryMode.WATCH);
-    assertThat(t.discovery().pollInterval()).isEqualTo(Duration.ofSeconds(20));
-    assertThat(t.capacity().meanVmCores()).isEqualTo(1.5);
-    assertThat(t.prices().gossipMessage()).isEqualTo(0.01);
+    assertThat(scheduler.attempts().sendsRetryAfter()).isFalse();
+    assertThat(scheduler.monitoring().gossipAllowed()).isTrue();
+    assertThat(scheduler.discovery().mode()).isEqualTo(SchedulerSettings.DiscoveryMode.WATCH);
+    assertThat(scheduler.discovery().pollInterval()).isEqualTo(Duration.ofSeconds(20));
+    assertThat(scheduler.capacity().meanVmCores()).isEqualTo(1.5);
+    assertThat(scheduler.prices().gossipMessage()).isEqualTo(0.01);
   }
 
   @Example
-  void theShapeOfADeploymentIsChecked() throws Exception {
-    assertThat(complaints(GOOD + "cluster.list_comes = shout\n"))
+  void invalidClusterSettingsAreRejected() throws Exception {
+    assertThat(readErrors(VALID_SETTINGS + "cluster.list_comes = shout\n"))
         .anyMatch(l -> l.contains("push, ask"));
-    assertThat(complaints(GOOD + "cluster { list_comes = ask, ask_within = 1s }\n"))
+    assertThat(readErrors(VALID_SETTINGS + "cluster { list_comes = ask, ask_within = 1s }\n"))
         .anyMatch(l -> l.contains("cluster.ask_within: found 1000ms"));
-    assertThat(complaints(GOOD + "placer.notes.to = [here]\n")).anyMatch(l -> l.contains("'here'"));
-    assertThat(complaints(GOOD + "placer.notes.to = [\"127.0.0.1:70000\"]\n"))
+    assertThat(readErrors(VALID_SETTINGS + "placer.notes.to = [here]\n"))
+        .anyMatch(l -> l.contains("'here'"));
+    assertThat(readErrors(VALID_SETTINGS + "placer.notes.to = [\"127.0.0.1:70000\"]\n"))
         .anyMatch(l -> l.contains("70000"));
-    assertThat(complaints(GOOD + "placer.placers = 2\ncluster.notes = true\n"))
+    assertThat(readErrors(VALID_SETTINGS + "placer.placers = 2\ncluster.notes = true\n"))
         .anyMatch(l -> l.contains("placer.notes.to: found none"));
-    assertThat(complaints(GOOD + "cluster.mean_cores = 0\n"))
+    assertThat(readErrors(VALID_SETTINGS + "cluster.mean_cores = 0\n"))
         .anyMatch(l -> l.contains("cluster.mean_cores"));
   }
 
   @Example
-  void whatIsNoHoconIsSaidWithItsLine() throws Exception {
-    assertThat(complaints("kinds = [\n{ name = x\n"))
+  void syntaxErrorIsReportedWithItsLine() throws Exception {
+    assertThat(readErrors("kinds = [\n{ name = x\n"))
         .anyMatch(l -> l.contains("fordridge") && l.contains(": 3"));
     assertThatThrownBy(() -> DeploymentSettings.read(new File("/nowhere.conf")))
         .hasMessageContaining("no such file");
   }
 
   @Example
-  void aListIsCheckedLineByLine() throws Exception {
-    DeploymentSettings d = DeploymentSettings.read(file(GOOD));
-    String good =
+  void machineListErrorsAreReportedWithTheirLine() throws Exception {
+    DeploymentSettings deployment = DeploymentSettings.read(file(VALID_SETTINGS));
+    String validList =
         "version = 1\nmachines = [\n{ name = a, address = \"127.0.0.1:1\", kind = std, state = live }\n]\n";
-    assertThat(MachineListFile.read(file(good), d, 1).entries().size()).isEqualTo(1);
+    assertThat(MachineListFile.read(file(validList), deployment, 1).entries().size()).isEqualTo(1);
     assertThatThrownBy(
-            () -> MachineListFile.read(file(good.replace("kind = std", "kind = odd")), d, 1))
+            () ->
+                MachineListFile.read(
+                    file(validList.replace("kind = std", "kind = odd")), deployment, 1))
         .hasMessageContaining(":3: machines[0].kind: found 'odd'");
-    assertThatThrownBy(() -> MachineListFile.read(file(good.replace("127.0.0.1:1", "here")), d, 1))
+    assertThatThrownBy(
+            () ->
+                MachineListFile.read(file(validList.replace("127.0.0.1:1", "here")), deployment, 1))
         .hasMessageContaining("host:port");
   }
 
   @Example
-  void termsOfTheClusterAreLaidOverAndCheckedWhole() throws Exception {
-    DeploymentSettings d = DeploymentSettings.read(file(GOOD));
-    DeploymentSettings next =
+  void sharedSettingsUpdateIsAppliedOrRejectedAsAWhole() throws Exception {
+    DeploymentSettings ownSettings = DeploymentSettings.read(file(VALID_SETTINGS));
+    DeploymentSettings updated =
         SettingsUpdate.apply(
-            d,
-            d,
+            ownSettings,
+            ownSettings,
             "cluster.most_claims = 2\nflavours = [{ name = f, effect = rebuildable, "
                 + "build_target = 800ms, build_timeout = 6s }, { name = g, effect = one-shot }]");
-    assertThat(next.cluster().maxAttempts()).isEqualTo(2);
-    assertThat(next.priorityClasses().keySet()).containsExactly("f", "g");
-    assertThatThrownBy(() -> SettingsUpdate.apply(d, next, "cluster.most_claims = 2"))
+    assertThat(updated.cluster().maxAttempts()).isEqualTo(2);
+    assertThat(updated.priorityClasses().keySet()).containsExactly("f", "g");
+    assertThatThrownBy(() -> SettingsUpdate.apply(ownSettings, updated, "cluster.most_claims = 2"))
         .hasMessageContaining("flavour 'g' is missing");
     assertThatThrownBy(
-            () -> SettingsUpdate.apply(d, d, "flavours = [{ name = f, effect = one-shot }]"))
+            () ->
+                SettingsUpdate.apply(
+                    ownSettings, ownSettings, "flavours = [{ name = f, effect = one-shot }]"))
         .hasMessageContaining("changes its effect");
-    assertThatThrownBy(() -> SettingsUpdate.apply(d, d, "placer.name = other"))
+    assertThatThrownBy(() -> SettingsUpdate.apply(ownSettings, ownSettings, "placer.name = other"))
         .hasMessageContaining("each placer's own");
-    assertThatThrownBy(() -> SettingsUpdate.apply(d, d, "cluster.most_claims = none"))
+    assertThatThrownBy(
+            () -> SettingsUpdate.apply(ownSettings, ownSettings, "cluster.most_claims = none"))
         .hasMessageContaining("most_claims");
-    assertThatThrownBy(() -> SettingsUpdate.apply(d, d, "cluster {")).hasMessageContaining("1");
+    assertThatThrownBy(() -> SettingsUpdate.apply(ownSettings, ownSettings, "cluster {"))
+        .hasMessageContaining("1");
   }
 }
