--- a/src/main/antlr4/fordridge/constraint/grammar/Constraints.g4
+++ b/src/main/antlr4/fordridge/constraint/grammar/Constraints.g4
@@ -1,9 +1,9 @@
-// Where services may run. See docs/constraints.md for what each rule means.
+// Placement constraints on the machines of services. docs/constraints.md defines each clause.
 grammar Constraints;
 
-file: rule_* EOF;
+file: constraint* EOF;
 
-rule_: RULE name=ID ':' scope strength clause ';';
+constraint: RULE name=ID ':' scope strength clause ';';
 
 strength: REQUIRE | PREFER weight=NUMBER;
 
@@ -12,22 +12,22 @@
 selector: field=(CUSTOMER | FLAVOUR | SERVICE) value (',' value)*;
 
 clause
-    : NEAR scope PER domain                                        # near
-    | APART scope PER domain                                       # apart
-    | SPREAD AT MOST most=NUMBER (OF EACH SERVICE)? PER domain reach? # most
-    | SPREAD WITHIN skew=NUMBER (OF EACH SERVICE)? PER domain      # skew
-    | ON predicate                                                 # on
+    : NEAR scope PER domain                                        # affinity
+    | APART scope PER domain                                       # antiAffinity
+    | SPREAD AT MOST limit=NUMBER (OF EACH SERVICE)? PER domain limitScope? # spreadLimit
+    | SPREAD WITHIN maxSkew=NUMBER (OF EACH SERVICE)? PER domain   # spreadSkew
+    | ON predicate                                                 # machineLabels
     ;
 
 domain: MACHINE | CELL | ZONE;
 
-reach: OWN | OVERALL;
+limitScope: OWN | OVERALL;
 
 predicate
-    : '(' predicate ')'                                            # nested
-    | NOT predicate                                                # not
-    | predicate AND predicate                                      # both
-    | predicate OR predicate                                       # either
+    : '(' predicate ')'                                            # parenthesized
+    | NOT predicate                                                # negation
+    | predicate AND predicate                                      # conjunction
+    | predicate OR predicate                                       # disjunction
     | field=(KIND | CELL | ZONE | MACHINE) value (',' value)*      # label
     ;
 
--- a/src/main/java/fordridge/constraint/ApplicableConstraints.java
+++ b/src/main/java/fordridge/constraint/ApplicableConstraints.java
@@ -7,33 +7,33 @@
  * The constraints of a set that concern a VM.
  *
  * @param own those whose scope covers it, in the set's order
- * @param antiAffinitiesOfOthers required ones that keep the VMs of their scope apart from it, in
- *     the set's order
+ * @param reverseAntiAffinities required ones that keep the VMs of their scope apart from it, in the
+ *     set's order
  */
 record ApplicableConstraints(
-    List<PlacementConstraint> own, List<PlacementConstraint> antiAffinitiesOfOthers) {
+    List<PlacementConstraint> own, List<PlacementConstraint> reverseAntiAffinities) {
 
   static ApplicableConstraints select(List<PlacementConstraint> constraints, VmAttributes vm) {
     List<PlacementConstraint> own = new ArrayList<>();
-    List<PlacementConstraint> antiAffinitiesOfOthers = new ArrayList<>();
+    List<PlacementConstraint> reverseAntiAffinities = new ArrayList<>();
     for (PlacementConstraint constraint : constraints) {
       if (constraint.scope().covers(vm)) {
         own.add(constraint);
       }
-      if (constraint.isRequired() && keepsApartFrom(constraint, vm)) {
-        antiAffinitiesOfOthers.add(constraint);
+      if (constraint.isRequired() && hasAntiAffinityTo(constraint, vm)) {
+        reverseAntiAffinities.add(constraint);
       }
     }
-    return new ApplicableConstraints(List.copyOf(own), List.copyOf(antiAffinitiesOfOthers));
+    return new ApplicableConstraints(List.copyOf(own), List.copyOf(reverseAntiAffinities));
   }
 
-  private static boolean keepsApartFrom(PlacementConstraint constraint, VmAttributes vm) {
+  private static boolean hasAntiAffinityTo(PlacementConstraint constraint, VmAttributes vm) {
     return constraint.clause() instanceof PlacementConstraint.AntiAffinity antiAffinity
         && antiAffinity.other().covers(vm);
   }
 
   boolean isEmpty() {
-    return own.isEmpty() && antiAffinitiesOfOthers.isEmpty();
+    return own.isEmpty() && reverseAntiAffinities.isEmpty();
   }
 
   boolean hasPreferences() {
--- a/src/main/java/fordridge/constraint/ConstraintEvaluator.java
+++ b/src/main/java/fordridge/constraint/ConstraintEvaluator.java
@@ -39,14 +39,15 @@
   }
 
   /** Takes out of the candidates where VMs run that another scope's anti-affinity keeps away. */
-  void restrictByOthers(RoaringBitmap candidates, PlacementConstraint antiAffinityOfOthers) {
-    CounterKey key = ApplicableConstraints.scopeCounterKey(antiAffinityOfOthers);
+  void restrictByReverseAntiAffinity(
+      RoaringBitmap candidates, PlacementConstraint reverseAntiAffinity) {
+    CounterKey key = ApplicableConstraints.scopeCounterKey(reverseAntiAffinity);
     candidates.andNot(counters.counter(key).occupiedMachines());
   }
 
   /** Whether the constraint alone keeps the VM from the machine. */
   boolean isViolated(PlacementConstraint constraint, VmAttributes vm, int machine) {
-    RoaringBitmap candidates = catalog.openMachines();
+    RoaringBitmap candidates = catalog.schedulableMachines();
     candidates.add(machine);
     restrict(candidates, constraint, vm);
     return !candidates.contains(machine);
@@ -70,26 +71,26 @@
 
   private void restrictToSkew(
       RoaringBitmap candidates, PlacementConstraint.SpreadSkew skew, DomainCounter counter) {
-    int fewest = fewestInOpenDomain(candidates, skew.level(), counter);
+    int minCount = minCountInCandidateDomains(candidates, skew.level(), counter);
     counter.forEachOccupiedDomain(
         (domain, count) -> {
-          if (count + 1 - fewest > skew.maxSkew()) {
+          if (count + 1 - minCount > skew.maxSkew()) {
             candidates.andNot(catalog.machinesIn(domain));
           }
         });
   }
 
   /** The fewest VMs in any domain with a candidate; the largest int where there is none. */
-  private int fewestInOpenDomain(
+  private int minCountInCandidateDomains(
       RoaringBitmap candidates, TopologyLevel level, DomainCounter counter) {
-    int fewest = Integer.MAX_VALUE;
-    for (Map.Entry<TopologyDomain, RoaringBitmap> entry :
+    int minCount = Integer.MAX_VALUE;
+    for (Map.Entry<PlacementDomain, RoaringBitmap> entry :
         catalog.machinesByDomainOf(level).entrySet()) {
       int count = counter.count(entry.getKey());
-      if (count < fewest && RoaringBitmap.intersects(candidates, entry.getValue())) {
-        fewest = count;
+      if (count < minCount && RoaringBitmap.intersects(candidates, entry.getValue())) {
+        minCount = count;
       }
     }
-    return fewest;
+    return minCount;
   }
 }
--- a/src/main/java/fordridge/constraint/ConstraintIndex.java
+++ b/src/main/java/fordridge/constraint/ConstraintIndex.java
@@ -27,8 +27,8 @@
   private final int schedulerCount;
   private final MachineCatalog catalog;
   private final PlacementCounters counters;
-  private final AttemptTracker tracker;
-  private final CandidateFilter filter;
+  private final PlacementTracker tracker;
+  private final VmConstraintCache constraintCache;
   private final RejectionExplainer explainer;
   private final PlacementAuditor auditor;
 
@@ -48,7 +48,7 @@
       List<PlacementConstraint> constraints,
       int schedulerCount,
       MachineCatalog catalog,
-      Optional<AttemptTracker> attemptsToTakeOver)
+      Optional<PlacementTracker> previousTracker)
       throws UnsatisfiableConstraintsException {
     for (PlacementConstraint constraint : constraints) {
       checkLimitCanBeShared(constraint, schedulerCount);
@@ -58,13 +58,13 @@
     this.catalog = catalog;
     counters = new PlacementCounters(this.constraints, catalog);
     tracker =
-        attemptsToTakeOver
-            .map(other -> new AttemptTracker(counters, other))
-            .orElseGet(() -> new AttemptTracker(counters));
+        previousTracker
+            .map(other -> new PlacementTracker(counters, other))
+            .orElseGet(() -> new PlacementTracker(counters));
     ConstraintEvaluator evaluator = new ConstraintEvaluator(catalog, counters, schedulerCount);
-    filter = new CandidateFilter(this.constraints, catalog, counters, evaluator);
-    explainer = new RejectionExplainer(catalog, counters, evaluator, filter);
-    auditor = new PlacementAuditor(catalog, tracker, filter, explainer);
+    constraintCache = new VmConstraintCache(this.constraints, catalog, counters, evaluator);
+    explainer = new RejectionExplainer(catalog, counters, evaluator, constraintCache);
+    auditor = new PlacementAuditor(catalog, tracker, constraintCache, explainer);
   }
 
   private static void checkLimitCanBeShared(PlacementConstraint constraint, int schedulerCount)
@@ -115,7 +115,7 @@
    */
   public void machineListReceived(Collection<MachineTopology> machines) {
     catalog.replaceListed(machines);
-    filter.clear();
+    constraintCache.clear();
     tracker.recount();
   }
 
@@ -134,7 +134,7 @@
    */
   public void attemptSent(Object attempt, VmAttributes vm, String machineName) {
     int machine = catalog.numberOf(machineName);
-    if (machine != MachineCatalog.NOT_LISTED) {
+    if (machine != MachineCatalog.UNKNOWN_MACHINE) {
       tracker.add(attempt, vm, machine);
     }
   }
@@ -163,24 +163,27 @@
       return true;
     }
     int machine = catalog.numberOf(machineName);
-    return machine != MachineCatalog.NOT_LISTED && filter.allowedMachines(vm).contains(machine);
+    return machine != MachineCatalog.UNKNOWN_MACHINE
+        && constraintCache.allowedMachines(vm).contains(machine);
   }
 
   /** As {@link #isAllowed}, for a VM whose place near others is fixed by the plan of its group. */
   public boolean isAllowedIgnoringAffinity(VmAttributes vm, String machineName) {
     int machine = catalog.numberOf(machineName);
-    return machine != MachineCatalog.NOT_LISTED
-        && filter.allowedMachinesIgnoringAffinity(vm).contains(machine);
+    return machine != MachineCatalog.UNKNOWN_MACHINE
+        && constraintCache.allowedMachinesIgnoringAffinity(vm).contains(machine);
   }
 
   /** The summed weight of the preferences that a machine does not meet; 0 if it meets them all. */
   public double preferencePenalty(VmAttributes vm, String machineName) {
-    return constraints.isEmpty() ? 0 : filter.preferencePenalty(vm, catalog.numberOf(machineName));
+    return constraints.isEmpty()
+        ? 0
+        : constraintCache.preferencePenalty(vm, catalog.numberOf(machineName));
   }
 
   /** Whether any constraint concerns such VMs. */
   public boolean hasConstraintsFor(VmAttributes vm) {
-    return !constraints.isEmpty() && !filter.applicableConstraints(vm).isEmpty();
+    return !constraints.isEmpty() && !constraintCache.applicableConstraints(vm).isEmpty();
   }
 
   /**
@@ -192,24 +195,24 @@
       return List.of();
     }
     List<PlacementConstraint> conflicting =
-        filter.applicableConstraints(vm).own().stream()
+        constraintCache.applicableConstraints(vm).own().stream()
             .filter(PlacementConstraint::isRequired)
-            .filter(own -> own.clause() instanceof PlacementConstraint.MachineLabels)
+            .filter(constraint -> constraint.clause() instanceof PlacementConstraint.MachineLabels)
             .toList();
-    if (isMetBySomeMachine(conflicting)) {
+    if (isSatisfiedBySomeMachine(conflicting)) {
       return List.of();
     }
     for (PlacementConstraint candidate : List.copyOf(conflicting)) {
       List<PlacementConstraint> others = new ArrayList<>(conflicting);
       others.remove(candidate);
-      if (!isMetBySomeMachine(others)) {
+      if (!isSatisfiedBySomeMachine(others)) {
         conflicting = others;
       }
     }
     return conflicting;
   }
 
-  private boolean isMetBySomeMachine(List<PlacementConstraint> labelConstraints) {
+  private boolean isSatisfiedBySomeMachine(List<PlacementConstraint> labelConstraints) {
     RoaringBitmap machines = catalog.listedMachines().clone();
     for (PlacementConstraint constraint : labelConstraints) {
       PlacementConstraint.MachineLabels labels =
@@ -242,9 +245,9 @@
   private GroupProblem groupProblem(
       List<GroupMember> members,
       Function<String, MachineCapacity> capacityByMachine,
-      boolean membersAreClasses) {
+      boolean membersRepresentClasses) {
     List<MachineTopology> machines = new ArrayList<>();
-    catalog.openMachines().forEach((int number) -> machines.add(catalog.machine(number)));
+    catalog.schedulableMachines().forEach((int number) -> machines.add(catalog.machine(number)));
     List<MachineCapacity> capacities =
         machines.stream().map(machine -> capacityByMachine.apply(machine.name())).toList();
     return new GroupProblem(
@@ -252,7 +255,7 @@
         capacities,
         members,
         GroupConstraints.capture(constraints, members, counters, schedulerCount),
-        membersAreClasses);
+        membersRepresentClasses);
   }
 
   /**
@@ -282,8 +285,8 @@
   }
 
   /** Runs questions while one attempt is left out of the counts; unknown attempts are ignored. */
-  public void withoutAttempt(Object attempt, Runnable questions) {
-    tracker.runWithout(attempt, questions);
+  public void withoutAttempt(Object attempt, Runnable queries) {
+    tracker.runWithout(attempt, queries);
   }
 
   @Override
--- a/src/main/java/fordridge/constraint/ConstraintParser.java
+++ b/src/main/java/fordridge/constraint/ConstraintParser.java
@@ -72,12 +72,12 @@
   }
 
   private static void checkNesting(String text) throws ConstraintSyntaxException {
-    int deepest = parenthesisDepth(text);
-    if (deepest > MAX_PARENTHESIS_DEPTH) {
+    int depth = parenthesisDepth(text);
+    if (depth > MAX_PARENTHESIS_DEPTH) {
       throw new ConstraintSyntaxException(
           List.of(
               SourceText.problemOfWholeText(
-                  "nested " + deepest + " deep, at most " + MAX_PARENTHESIS_DEPTH)));
+                  "nested " + depth + " deep, at most " + MAX_PARENTHESIS_DEPTH)));
     }
     int negations = countNegations(text);
     if (negations >= MAX_NEGATIONS) {
@@ -90,16 +90,16 @@
 
   private static int parenthesisDepth(String text) {
     int depth = 0;
-    int deepest = 0;
+    int maxDepth = 0;
     for (int i = 0; i < text.length(); i++) {
       if (text.charAt(i) == '(') {
         depth++;
       } else if (text.charAt(i) == ')') {
         depth--;
       }
-      deepest = Math.max(deepest, depth);
+      maxDepth = Math.max(maxDepth, depth);
     }
-    return deepest;
+    return maxDepth;
   }
 
   private static int countNegations(String text) {
--- a/src/main/java/fordridge/constraint/ConstraintTreeReader.java
+++ b/src/main/java/fordridge/constraint/ConstraintTreeReader.java
@@ -43,15 +43,15 @@
   /** All constraints of a file; of use only if no problem was reported. */
   List<PlacementConstraint> readAll(ConstraintsParser.FileContext file) {
     List<PlacementConstraint> constraints = new ArrayList<>();
-    for (ConstraintsParser.Rule_Context context : file.rule_()) {
+    for (ConstraintsParser.ConstraintContext context : file.constraint()) {
       PlacementConstraint constraint = readConstraint(context);
-      checkNameIsNew(context.name);
+      checkNameIsUnique(context.name);
       constraints.add(constraint);
     }
     return constraints;
   }
 
-  private PlacementConstraint readConstraint(ConstraintsParser.Rule_Context context) {
+  private PlacementConstraint readConstraint(ConstraintsParser.ConstraintContext context) {
     ConstraintsParser.StrengthContext strength = context.strength();
     double weight = strength.PREFER() == null ? 0 : readNumber(strength.weight);
     Scope scope = readScope(context.scope());
@@ -60,7 +60,7 @@
         context.name.getText(), scope, weight, clause, context.name.getLine());
   }
 
-  private void checkNameIsNew(Token name) {
+  private void checkNameIsUnique(Token name) {
     Integer firstLine = lineByName.putIfAbsent(name.getText(), name.getLine());
     if (firstLine != null) {
       report(
@@ -85,20 +85,20 @@
   }
 
   private void readNames(
-      ConstraintsParser.SelectorContext selector, Set<String> into, Set<String> allowed) {
-    checkFirstOfScope(selector, into);
+      ConstraintsParser.SelectorContext selector, Set<String> names, Set<String> allowed) {
+    checkFieldNotRepeated(selector, names);
     for (ConstraintsParser.ValueContext value : selector.value()) {
       String name = textOf(value);
-      into.add(name);
+      names.add(name);
       checkKnown(value.start, name, allowed, selector.field.getText());
     }
   }
 
-  private void readServices(ConstraintsParser.SelectorContext selector, Set<String> into) {
-    checkFirstOfScope(selector, into);
+  private void readServices(ConstraintsParser.SelectorContext selector, Set<String> services) {
+    checkFieldNotRepeated(selector, services);
     for (ConstraintsParser.ValueContext value : selector.value()) {
       String number = textOf(value);
-      into.add(number);
+      services.add(number);
       if (!isServiceNumber(number)) {
         report(value.start, "service '" + number + "' is not a number");
       }
@@ -117,9 +117,9 @@
     }
   }
 
-  private void checkFirstOfScope(
-      ConstraintsParser.SelectorContext selector, Set<String> valuesSoFar) {
-    if (!valuesSoFar.isEmpty()) {
+  private void checkFieldNotRepeated(
+      ConstraintsParser.SelectorContext selector, Set<String> valuesReadSoFar) {
+    if (!valuesReadSoFar.isEmpty()) {
       report(
           selector.field,
           "'" + selector.field.getText() + "' twice in one scope; list its values with commas");
@@ -127,52 +127,54 @@
   }
 
   @Override
-  public PlacementConstraint.Clause visitNear(ConstraintsParser.NearContext context) {
+  public PlacementConstraint.Clause visitAffinity(ConstraintsParser.AffinityContext context) {
     return new PlacementConstraint.Affinity(
         readScope(context.scope()), readLevel(context.domain()));
   }
 
   @Override
-  public PlacementConstraint.Clause visitApart(ConstraintsParser.ApartContext context) {
+  public PlacementConstraint.Clause visitAntiAffinity(
+      ConstraintsParser.AntiAffinityContext context) {
     return new PlacementConstraint.AntiAffinity(
         readScope(context.scope()), readLevel(context.domain()));
   }
 
   @Override
-  public PlacementConstraint.Clause visitMost(ConstraintsParser.MostContext context) {
-    boolean isClusterWide = context.reach() != null && context.reach().OVERALL() != null;
+  public PlacementConstraint.Clause visitSpreadLimit(ConstraintsParser.SpreadLimitContext context) {
+    boolean isClusterWide = context.limitScope() != null && context.limitScope().OVERALL() != null;
     return new PlacementConstraint.SpreadLimit(
-        readNumber(context.most),
+        readNumber(context.limit),
         context.EACH() != null,
         readLevel(context.domain()),
         isClusterWide);
   }
 
   @Override
-  public PlacementConstraint.Clause visitSkew(ConstraintsParser.SkewContext context) {
+  public PlacementConstraint.Clause visitSpreadSkew(ConstraintsParser.SpreadSkewContext context) {
     return new PlacementConstraint.SpreadSkew(
-        readNumber(context.skew), context.EACH() != null, readLevel(context.domain()));
+        readNumber(context.maxSkew), context.EACH() != null, readLevel(context.domain()));
   }
 
   @Override
-  public PlacementConstraint.Clause visitOn(ConstraintsParser.OnContext context) {
+  public PlacementConstraint.Clause visitMachineLabels(
+      ConstraintsParser.MachineLabelsContext context) {
     return new PlacementConstraint.MachineLabels(readPredicate(context.predicate()));
   }
 
   private LabelPredicate readPredicate(ParserRuleContext context) {
-    if (context instanceof ConstraintsParser.NestedContext nested) {
-      return readPredicate(nested.predicate());
+    if (context instanceof ConstraintsParser.ParenthesizedContext parenthesized) {
+      return readPredicate(parenthesized.predicate());
     }
-    if (context instanceof ConstraintsParser.NotContext not) {
-      return new PlacementConstraint.Not(readPredicate(not.predicate()));
+    if (context instanceof ConstraintsParser.NegationContext negation) {
+      return new PlacementConstraint.Not(readPredicate(negation.predicate()));
     }
-    if (context instanceof ConstraintsParser.BothContext both) {
+    if (context instanceof ConstraintsParser.ConjunctionContext conjunction) {
       return new PlacementConstraint.And(
-          readPredicate(both.predicate(0)), readPredicate(both.predicate(1)));
+          readPredicate(conjunction.predicate(0)), readPredicate(conjunction.predicate(1)));
     }
-    if (context instanceof ConstraintsParser.EitherContext either) {
+    if (context instanceof ConstraintsParser.DisjunctionContext disjunction) {
       return new PlacementConstraint.Or(
-          readPredicate(either.predicate(0)), readPredicate(either.predicate(1)));
+          readPredicate(disjunction.predicate(0)), readPredicate(disjunction.predicate(1)));
     }
     return readLabel((ConstraintsParser.LabelContext) context);
   }
--- a/src/main/java/fordridge/constraint/ConstraintValidator.java
+++ b/src/main/java/fordridge/constraint/ConstraintValidator.java
@@ -31,9 +31,9 @@
   public static final Duration TIME_LIMIT = Duration.ofSeconds(1);
 
   /** Most classes that are judged together; further ones are judged one at a time only. */
-  private static final int MAX_CLASSES_TOGETHER = 200;
+  private static final int MAX_CLASSES_CHECKED_TOGETHER = 200;
 
-  private static final MachineCapacity ANY_CAPACITY = new MachineCapacity(1, 1);
+  private static final MachineCapacity UNUSED_CAPACITY = new MachineCapacity(1, 1);
 
   /** One VM of a class; an empty value stands for one that no constraint names. */
   private record SampleVm(String tenant, String priorityClass, String service) {
@@ -89,12 +89,12 @@
 
   /** How a limit is shared among schedulers does not bear on what is possible at all. */
   private static ConstraintIndex indexWithoutSpreadLimits(List<PlacementConstraint> constraints) {
-    List<PlacementConstraint> unlimited =
+    List<PlacementConstraint> withoutLimits =
         constraints.stream()
             .filter(constraint -> !(constraint.clause() instanceof SpreadLimit))
             .toList();
     try {
-      return new ConstraintIndex(unlimited, 1);
+      return new ConstraintIndex(withoutLimits, 1);
     } catch (UnsatisfiableConstraintsException e) {
       throw new IllegalStateException("a set without limits was rejected", e);
     }
@@ -119,12 +119,12 @@
           continue;
         }
         for (String service : services) {
-          checkOne(new SampleVm(tenant, priorityClass, service));
+          checkClass(new SampleVm(tenant, priorityClass, service));
         }
       }
     }
     if (conflicts.isEmpty()) {
-      checkOneOfEachTogether();
+      checkClassesTogether();
     }
     return List.copyOf(conflicts.values());
   }
@@ -137,7 +137,7 @@
     return values;
   }
 
-  private void checkOne(SampleVm vm) {
+  private void checkClass(SampleVm vm) {
     checkLabels(vm);
     checkAffinityAgainstAntiAffinity(vm);
   }
@@ -164,7 +164,7 @@
       }
       for (PlacementConstraint second : required) {
         if (second.clause() instanceof AntiAffinity antiAffinity
-            && isContradicted(affinity, antiAffinity)) {
+            && contradicts(affinity, antiAffinity)) {
           String description = "leave no place as soon as one of " + affinity.other() + " runs";
           add(vm.toString(), List.of(first, second), description);
         }
@@ -173,18 +173,18 @@
   }
 
   /** Whether all that the affinity draws to is kept away from, in domains at least as large. */
-  private static boolean isContradicted(Affinity affinity, AntiAffinity antiAffinity) {
-    return isWithin(affinity.other(), antiAffinity.other())
+  private static boolean contradicts(Affinity affinity, AntiAffinity antiAffinity) {
+    return isSubset(affinity.other(), antiAffinity.other())
         && antiAffinity.level().compareTo(affinity.level()) >= 0;
   }
 
-  private static boolean isWithin(Scope part, Scope whole) {
-    return isWithin(part.tenants(), whole.tenants())
-        && isWithin(part.priorityClasses(), whole.priorityClasses())
-        && isWithin(part.services(), whole.services());
+  private static boolean isSubset(Scope part, Scope whole) {
+    return isSubset(part.tenants(), whole.tenants())
+        && isSubset(part.priorityClasses(), whole.priorityClasses())
+        && isSubset(part.services(), whole.services());
   }
 
-  private static boolean isWithin(Set<String> part, Set<String> whole) {
+  private static boolean isSubset(Set<String> part, Set<String> whole) {
     return whole.isEmpty() || (!part.isEmpty() && whole.containsAll(part));
   }
 
@@ -193,13 +193,13 @@
    * affinities and anti-affinities. How many of a class a spread lets run is no conflict, nor are
    * VMs of one class that keep apart from each other.
    */
-  private void checkOneOfEachTogether() {
+  private void checkClassesTogether() {
     List<GroupMember> classes =
         namedClasses().stream()
             .map(vm -> new GroupMember(vm.toString(), vm.attributes(), 0, 0))
             .toList();
     FeasibilityResult result =
-        index.classFeasibility(classes, machine -> ANY_CAPACITY).solve(shouldStop);
+        index.classFeasibility(classes, machine -> UNUSED_CAPACITY).solve(shouldStop);
     if (result.verdict() == FeasibilityResult.Verdict.INFEASIBLE) {
       List<PlacementConstraint> conflicting = result.conflictingConstraints();
       String affected =
@@ -217,7 +217,7 @@
         .flatMap(constraint -> namedScopes(constraint).stream())
         .map(SampleVm::of)
         .distinct()
-        .limit(MAX_CLASSES_TOGETHER)
+        .limit(MAX_CLASSES_CHECKED_TOGETHER)
         .toList();
   }
 
--- a/src/main/java/fordridge/constraint/DomainCounter.java
+++ b/src/main/java/fordridge/constraint/DomainCounter.java
@@ -12,7 +12,7 @@
 final class DomainCounter {
   private final MachineCatalog catalog;
   private final TopologyLevel level;
-  private final Map<TopologyDomain, Integer> countByDomain = new HashMap<>();
+  private final Map<PlacementDomain, Integer> countByDomain = new HashMap<>();
   private final RoaringBitmap occupiedMachines = new RoaringBitmap();
   private int total;
 
@@ -23,7 +23,7 @@
 
   /** Counts VMs on a machine: positive to add, negative to take out. */
   void add(int machine, int delta) {
-    TopologyDomain domain = catalog.domainOf(machine, level);
+    PlacementDomain domain = catalog.domainOf(machine, level);
     int count = countByDomain.merge(domain, delta, Integer::sum);
     total += delta;
     if (count == 0) {
@@ -34,7 +34,7 @@
     }
   }
 
-  int count(TopologyDomain domain) {
+  int count(PlacementDomain domain) {
     return countByDomain.getOrDefault(domain, 0);
   }
 
@@ -48,12 +48,12 @@
   }
 
   /** Visits each domain that holds any, in no particular order. */
-  void forEachOccupiedDomain(ObjIntConsumer<TopologyDomain> visitor) {
+  void forEachOccupiedDomain(ObjIntConsumer<PlacementDomain> visitor) {
     countByDomain.forEach(visitor::accept);
   }
 
   /** A copy of the counts of all domains that hold any. */
-  Map<TopologyDomain, Integer> copyOfCounts() {
+  Map<PlacementDomain, Integer> copyOfCounts() {
     return Map.copyOf(countByDomain);
   }
 }
--- a/src/main/java/fordridge/constraint/GroupConstraints.java
+++ b/src/main/java/fordridge/constraint/GroupConstraints.java
@@ -14,56 +14,57 @@
  * @param constraints in the set's order
  * @param schedulerCount how many schedulers share the cluster-wide limits
  * @param countsByKey running VMs by domain, as constraints count them
- * @param domainsByAffinity the domains that each affinity draws to by what runs already
+ * @param targetDomainsByAffinity the domains that each affinity draws to by what runs already
  */
 record GroupConstraints(
     List<PlacementConstraint> constraints,
     int schedulerCount,
-    Map<CounterKey, Map<TopologyDomain, Integer>> countsByKey,
-    Map<Affinity, Set<TopologyDomain>> domainsByAffinity) {
+    Map<CounterKey, Map<PlacementDomain, Integer>> countsByKey,
+    Map<Affinity, Set<PlacementDomain>> targetDomainsByAffinity) {
 
   static GroupConstraints capture(
       List<PlacementConstraint> all,
       List<GroupMember> members,
       PlacementCounters counters,
       int schedulerCount) {
-    List<PlacementConstraint> concerning = new ArrayList<>();
-    Map<CounterKey, Map<TopologyDomain, Integer>> countsByKey = new HashMap<>();
-    Map<Affinity, Set<TopologyDomain>> domainsByAffinity = new HashMap<>();
+    List<PlacementConstraint> applicable = new ArrayList<>();
+    Map<CounterKey, Map<PlacementDomain, Integer>> countsByKey = new HashMap<>();
+    Map<Affinity, Set<PlacementDomain>> targetDomainsByAffinity = new HashMap<>();
     for (PlacementConstraint constraint : all) {
-      List<GroupMember> concerned =
-          members.stream().filter(member -> concerns(constraint, member)).toList();
-      if (!constraint.isRequired() || concerned.isEmpty()) {
+      List<GroupMember> affectedMembers =
+          members.stream().filter(member -> appliesTo(constraint, member)).toList();
+      if (!constraint.isRequired() || affectedMembers.isEmpty()) {
         continue;
       }
-      concerning.add(constraint);
+      applicable.add(constraint);
       if (constraint.clause() instanceof Affinity affinity) {
-        domainsByAffinity.put(affinity, counters.affinityCounter(affinity).copyOfCounts().keySet());
+        targetDomainsByAffinity.put(
+            affinity, counters.affinityCounter(affinity).copyOfCounts().keySet());
         continue;
       }
-      for (GroupMember member : concerned) {
+      for (GroupMember member : affectedMembers) {
         for (CounterKey key : CounterKey.keysOf(constraint, member.vm().service())) {
           countsByKey.put(key, counters.counter(key).copyOfCounts());
         }
       }
     }
     return new GroupConstraints(
-        List.copyOf(concerning), schedulerCount, countsByKey, domainsByAffinity);
+        List.copyOf(applicable), schedulerCount, countsByKey, targetDomainsByAffinity);
   }
 
-  private static boolean concerns(PlacementConstraint constraint, GroupMember member) {
+  private static boolean appliesTo(PlacementConstraint constraint, GroupMember member) {
     return constraint.scope().covers(member.vm())
         || (constraint.clause() instanceof PlacementConstraint.AntiAffinity antiAffinity
             && antiAffinity.other().covers(member.vm()));
   }
 
   /** Running VMs by domain; empty where none is counted. */
-  Map<TopologyDomain, Integer> counts(CounterKey key) {
+  Map<PlacementDomain, Integer> counts(CounterKey key) {
     return countsByKey.getOrDefault(key, Map.of());
   }
 
   /** The domains that an affinity draws to by what runs already; empty while nothing runs. */
-  Set<TopologyDomain> domains(Affinity affinity) {
-    return domainsByAffinity.getOrDefault(affinity, Set.of());
+  Set<PlacementDomain> targetDomains(Affinity affinity) {
+    return targetDomainsByAffinity.getOrDefault(affinity, Set.of());
   }
 }
--- a/src/main/java/fordridge/constraint/GroupFeasibility.java
+++ b/src/main/java/fordridge/constraint/GroupFeasibility.java
@@ -51,11 +51,11 @@
    * The smallest domains that a member must share with another member; empty if it need not share
    * any.
    */
-  Optional<TopologyLevel> levelSharedWithOthers(GroupMember member) {
+  Optional<TopologyLevel> requiredSharedLevel(GroupMember member) {
     Optional<TopologyLevel> smallest = Optional.empty();
     for (PlacementConstraint constraint : problem.constraints().constraints()) {
       if (constraint.clause() instanceof PlacementConstraint.Affinity affinity
-          && isTiedToAnother(member, constraint.scope(), affinity.other())
+          && hasAffinityWithOtherMember(member, constraint.scope(), affinity.other())
           && (smallest.isEmpty() || affinity.level().compareTo(smallest.get()) < 0)) {
         smallest = Optional.of(affinity.level());
       }
@@ -63,7 +63,7 @@
     return smallest;
   }
 
-  private boolean isTiedToAnother(
+  private boolean hasAffinityWithOtherMember(
       GroupMember member, PlacementConstraint.Scope scope, PlacementConstraint.Scope other) {
     return problem.members().stream()
         .filter(candidate -> !candidate.id().equals(member.id()))
@@ -76,18 +76,18 @@
   /**
    * How many machines are open to the member that has the fewest; 0 for a group without members.
    */
-  int fewestOpenMachines() {
-    OpenMachines openMachines =
-        new OpenMachines(problem, problem.constraints().constraints(), true);
-    int fewest = problem.memberCount() == 0 ? 0 : Integer.MAX_VALUE;
+  int minCandidateMachines() {
+    MemberCandidates candidates =
+        new MemberCandidates(problem, problem.constraints().constraints(), true);
+    int minCandidates = problem.memberCount() == 0 ? 0 : Integer.MAX_VALUE;
     for (int member = 0; member < problem.memberCount(); member++) {
-      fewest = Math.min(fewest, openMachines.find(member).length);
+      minCandidates = Math.min(minCandidates, candidates.find(member).length);
     }
-    return fewest;
+    return minCandidates;
   }
 
   /** The machine of a name that the solution gave. */
-  MachineTopology machineNamed(String name) {
-    return problem.machineNamed(name);
+  MachineTopology machineByName(String name) {
+    return problem.machineByName(name);
   }
 }
--- a/src/main/java/fordridge/constraint/GroupModel.java
+++ b/src/main/java/fordridge/constraint/GroupModel.java
@@ -58,7 +58,7 @@
     this.problem = problem;
     this.shouldStop = shouldStop;
     machineOfMember = new IntVar[problem.memberCount()];
-    createMachineVariables(new OpenMachines(problem, constraints, withCapacity));
+    createMachineVariables(new MemberCandidates(problem, constraints, withCapacity));
     if (isTriviallyInfeasible) {
       return;
     }
@@ -71,14 +71,14 @@
     }
   }
 
-  private void createMachineVariables(OpenMachines openMachines) {
+  private void createMachineVariables(MemberCandidates candidates) {
     for (int member = 0; member < machineOfMember.length; member++) {
-      int[] open = openMachines.find(member);
-      if (open.length == 0) {
+      int[] candidateMachines = candidates.find(member);
+      if (candidateMachines.length == 0) {
         isTriviallyInfeasible = true;
         return;
       }
-      machineOfMember[member] = model.intVar("machine" + member, open);
+      machineOfMember[member] = model.intVar("machine" + member, candidateMachines);
     }
   }
 
@@ -98,7 +98,7 @@
       return machineOfMember[member];
     }
     IntVar[] variables =
-        domainOfMember.computeIfAbsent(level, any -> new IntVar[machineOfMember.length]);
+        domainOfMember.computeIfAbsent(level, key -> new IntVar[machineOfMember.length]);
     if (variables[member] == null) {
       int lastDomain = problem.domains(level).size() - 1;
       variables[member] = model.intVar(level.toString() + member, 0, lastDomain);
@@ -112,18 +112,18 @@
   private void postAntiAffinity(Scope scope, AntiAffinity antiAffinity) {
     Scope other = antiAffinity.other();
     TopologyLevel level = antiAffinity.level();
-    List<IntVar> mutuallyApart = new ArrayList<>();
+    List<IntVar> mutuallyExclusiveDomains = new ArrayList<>();
     for (int member = 0; member < machineOfMember.length; member++) {
       if (problem.isCovered(member, scope) && problem.isCovered(member, other)) {
-        mutuallyApart.add(domainOf(member, level));
+        mutuallyExclusiveDomains.add(domainOf(member, level));
       }
     }
-    if (mutuallyApart.size() > 1 && !problem.membersAreClasses()) {
-      model.allDifferent(mutuallyApart.toArray(new IntVar[0])).post();
+    if (mutuallyExclusiveDomains.size() > 1 && !problem.membersRepresentClasses()) {
+      model.allDifferent(mutuallyExclusiveDomains.toArray(new IntVar[0])).post();
     }
     for (int member = 0; member < machineOfMember.length; member++) {
       for (int second = 0; second < machineOfMember.length; second++) {
-        if (member != second && isApartOneWay(scope, other, member, second)) {
+        if (member != second && isOneWayAntiAffinity(scope, other, member, second)) {
           model.arithm(domainOf(member, level), "!=", domainOf(second, level)).post();
         }
       }
@@ -131,10 +131,10 @@
   }
 
   /** Whether the first keeps apart from the second, and not the second from the first as well. */
-  private boolean isApartOneWay(Scope scope, Scope other, int first, int second) {
-    boolean isFirstApart = problem.isCovered(first, scope) && problem.isCovered(second, other);
-    boolean isSecondApart = problem.isCovered(second, scope) && problem.isCovered(first, other);
-    return isFirstApart && !isSecondApart;
+  private boolean isOneWayAntiAffinity(Scope scope, Scope other, int first, int second) {
+    boolean firstAvoidsSecond = problem.isCovered(first, scope) && problem.isCovered(second, other);
+    boolean secondAvoidsFirst = problem.isCovered(second, scope) && problem.isCovered(first, other);
+    return firstAvoidsSecond && !secondAvoidsFirst;
   }
 
   private void postSpreadLimit(Scope scope, SpreadLimit limit) {
@@ -142,7 +142,7 @@
     for (int member = 0; member < machineOfMember.length; member++) {
       if (problem.isCovered(member, scope)) {
         long service = problem.member(member).vm().service();
-        membersByService.computeIfAbsent(service, any -> new ArrayList<>()).add(member);
+        membersByService.computeIfAbsent(service, key -> new ArrayList<>()).add(member);
       }
     }
     if (limit.perService()) {
@@ -157,59 +157,59 @@
   }
 
   private void postSpreadLimit(SpreadLimit limit, List<Integer> members, CounterKey key) {
-    int most = limit.limitPerScheduler(problem.constraints().schedulerCount());
-    Map<TopologyDomain, Integer> counts = problem.constraints().counts(key);
-    int fullest = counts.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-    if (members.size() <= most - fullest) {
+    int limitPerScheduler = limit.limitPerScheduler(problem.constraints().schedulerCount());
+    Map<PlacementDomain, Integer> counts = problem.constraints().counts(key);
+    int maxCount = counts.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+    if (members.size() <= limitPerScheduler - maxCount) {
       return;
     }
     IntVar[] domains =
         members.stream().map(member -> domainOf(member, limit.level())).toArray(IntVar[]::new);
-    if (most == 1) {
+    if (limitPerScheduler == 1) {
       model.allDifferent(domains).post();
     } else {
-      postDomainCounts(domains, limit.level(), most, counts);
+      postDomainCounts(domains, limit.level(), limitPerScheduler, counts);
     }
   }
 
   /** Bounds how many of the variables take each domain, by what each holds already. */
   private void postDomainCounts(
-      IntVar[] variables, TopologyLevel level, int most, Map<TopologyDomain, Integer> counts) {
-    List<TopologyDomain> domains = problem.domains(level);
+      IntVar[] variables, TopologyLevel level, int limit, Map<PlacementDomain, Integer> counts) {
+    List<PlacementDomain> domains = problem.domains(level);
     int[] values = new int[domains.size()];
     IntVar[] occurrences = new IntVar[domains.size()];
     for (int domain = 0; domain < values.length; domain++) {
-      int left = most - counts.getOrDefault(domains.get(domain), 0);
+      int remaining = limit - counts.getOrDefault(domains.get(domain), 0);
       values[domain] = domain;
-      occurrences[domain] = model.intVar(0, Math.max(0, Math.min(variables.length, left)));
+      occurrences[domain] = model.intVar(0, Math.max(0, Math.min(variables.length, remaining)));
     }
     model.globalCardinality(variables, values, occurrences, false).post();
   }
 
   private void postAffinity(Scope scope, Affinity affinity) {
-    Set<TopologyDomain> occupied = problem.constraints().domains(affinity);
-    List<TopologyDomain> domains = problem.domains(affinity.level());
-    int[] occupiedNumbers =
+    Set<PlacementDomain> targetDomains = problem.constraints().targetDomains(affinity);
+    List<PlacementDomain> domains = problem.domains(affinity.level());
+    int[] targetDomainNumbers =
         IntStream.range(0, domains.size())
-            .filter(number -> occupied.contains(domains.get(number)))
+            .filter(number -> targetDomains.contains(domains.get(number)))
             .toArray();
-    boolean runsOnlyElsewhere = occupiedNumbers.length == 0 && !occupied.isEmpty();
+    boolean hasUnreachableTargets = targetDomainNumbers.length == 0 && !targetDomains.isEmpty();
     for (int member = 0; member < machineOfMember.length; member++) {
       if (problem.isCovered(member, scope)) {
-        List<Constraint> alternatives = affinityAlternatives(member, affinity, occupiedNumbers);
+        List<Constraint> alternatives = affinityAlternatives(member, affinity, targetDomainNumbers);
         postAnyOf(alternatives);
-        isTriviallyInfeasible |= alternatives.isEmpty() && runsOnlyElsewhere;
+        isTriviallyInfeasible |= alternatives.isEmpty() && hasUnreachableTargets;
       }
     }
   }
 
   /** The ways in which a member can be near: one that runs already, or each other member. */
   private List<Constraint> affinityAlternatives(
-      int member, Affinity affinity, int[] occupiedNumbers) {
+      int member, Affinity affinity, int[] targetDomainNumbers) {
     TopologyLevel level = affinity.level();
     List<Constraint> alternatives = new ArrayList<>();
-    if (occupiedNumbers.length > 0) {
-      alternatives.add(model.member(domainOf(member, level), occupiedNumbers));
+    if (targetDomainNumbers.length > 0) {
+      alternatives.add(model.member(domainOf(member, level), targetDomainNumbers));
     }
     for (int second = 0; second < machineOfMember.length; second++) {
       if (second != member && problem.isCovered(second, affinity.other())) {
@@ -229,22 +229,23 @@
 
   /** No machine takes more of a resource than it has; posted only where that could happen. */
   private void postCapacity(IntToDoubleFunction requested, IntToDoubleFunction available) {
-    int[] sizes = new int[machineOfMember.length];
-    long sum = 0;
-    for (int member = 0; member < sizes.length; member++) {
-      sizes[member] = (int) Math.floor(requested.applyAsDouble(member) * CAPACITY_SCALE);
-      sum += sizes[member];
+    int[] demands = new int[machineOfMember.length];
+    long totalDemand = 0;
+    for (int member = 0; member < demands.length; member++) {
+      demands[member] = (int) Math.floor(requested.applyAsDouble(member) * CAPACITY_SCALE);
+      totalDemand += demands[member];
     }
     IntVar[] loads = new IntVar[problem.machineCount()];
     boolean canExceed = false;
     for (int machine = 0; machine < loads.length; machine++) {
       double capped = Math.min(available.applyAsDouble(machine), MAX_CAPACITY);
-      long most = Math.max(0, (long) Math.ceil(capped * CAPACITY_SCALE));
-      canExceed |= most < sum;
-      loads[machine] = model.intVar(0, (int) Math.min(most, Math.min(sum, MAX_SCALED_LOAD)));
+      long scaledCapacity = Math.max(0, (long) Math.ceil(capped * CAPACITY_SCALE));
+      canExceed |= scaledCapacity < totalDemand;
+      loads[machine] =
+          model.intVar(0, (int) Math.min(scaledCapacity, Math.min(totalDemand, MAX_SCALED_LOAD)));
     }
     if (canExceed) {
-      model.binPacking(machineOfMember, sizes, loads, 0).post();
+      model.binPacking(machineOfMember, demands, loads, 0).post();
     }
   }
 
--- a/src/main/java/fordridge/constraint/GroupPlan.java
+++ b/src/main/java/fordridge/constraint/GroupPlan.java
@@ -21,23 +21,23 @@
  */
 public final class GroupPlan {
   /** Penalty of a machine that was not found for a member; outweighs the tenants' preferences. */
-  private static final double NOT_PLANNED_PENALTY = 1e6;
+  private static final double UNPLANNED_MACHINE_PENALTY = 1e6;
 
   /** Below this many open machines for each member of the group, members prefer what was found. */
-  private static final int AMPLE_MACHINES_PER_MEMBER = 4;
+  private static final int AMPLE_CANDIDATES_PER_MEMBER = 4;
 
   /** Longest time that computing one plan may take. */
   public static final Duration TIME_LIMIT = Duration.ofSeconds(1);
 
   private final List<String> placementOrder;
   private final Optional<String> rejectionReason;
-  private final Map<String, TopologyDomain> fixedDomainByMember;
+  private final Map<String, PlacementDomain> fixedDomainByMember;
   private final Map<String, String> preferredMachineByMember;
 
   private GroupPlan(
       List<String> placementOrder,
       Optional<String> rejectionReason,
-      Map<String, TopologyDomain> fixedDomainByMember,
+      Map<String, PlacementDomain> fixedDomainByMember,
       Map<String, String> preferredMachineByMember) {
     this.placementOrder = placementOrder;
     this.rejectionReason = rejectionReason;
@@ -74,21 +74,21 @@
 
   private static GroupPlan fromSolution(
       FeasibilityResult solution, GroupFeasibility feasibility, List<GroupMember> members) {
-    boolean isScarce =
-        feasibility.fewestOpenMachines() < AMPLE_MACHINES_PER_MEMBER * members.size();
-    Map<String, TopologyDomain> fixedDomains = new HashMap<>();
+    boolean areCandidatesScarce =
+        feasibility.minCandidateMachines() < AMPLE_CANDIDATES_PER_MEMBER * members.size();
+    Map<String, PlacementDomain> fixedDomains = new HashMap<>();
     for (GroupMember member : members) {
       MachineTopology machine =
-          feasibility.machineNamed(solution.machineByMember().get(member.id()));
+          feasibility.machineByName(solution.machineByMember().get(member.id()));
       feasibility
-          .levelSharedWithOthers(member)
-          .ifPresent(level -> fixedDomains.put(member.id(), TopologyDomain.of(machine, level)));
+          .requiredSharedLevel(member)
+          .ifPresent(level -> fixedDomains.put(member.id(), PlacementDomain.of(machine, level)));
     }
     return new GroupPlan(
         List.copyOf(solution.machineByMember().keySet()),
         Optional.empty(),
         fixedDomains,
-        isScarce ? Map.copyOf(solution.machineByMember()) : Map.of());
+        areCandidatesScarce ? Map.copyOf(solution.machineByMember()) : Map.of());
   }
 
   private static GroupPlan rejected(FeasibilityResult result, int groupSize) {
@@ -124,11 +124,11 @@
 
   /** The penalty of a machine for a member; infinite where it must not go. */
   public double placementPenalty(String memberId, MachineTopology machine) {
-    TopologyDomain fixed = fixedDomainByMember.get(memberId);
-    if (fixed != null && !TopologyDomain.of(machine, fixed.level()).equals(fixed)) {
+    PlacementDomain fixed = fixedDomainByMember.get(memberId);
+    if (fixed != null && !PlacementDomain.of(machine, fixed.level()).equals(fixed)) {
       return Double.POSITIVE_INFINITY;
     }
     String preferred = preferredMachineByMember.get(memberId);
-    return preferred == null || preferred.equals(machine.name()) ? 0 : NOT_PLANNED_PENALTY;
+    return preferred == null || preferred.equals(machine.name()) ? 0 : UNPLANNED_MACHINE_PENALTY;
   }
 }
--- a/src/main/java/fordridge/constraint/GroupProblem.java
+++ b/src/main/java/fordridge/constraint/GroupProblem.java
@@ -15,29 +15,29 @@
   private final List<MachineCapacity> capacities;
   private final List<GroupMember> members;
   private final GroupConstraints constraints;
-  private final boolean membersAreClasses;
+  private final boolean membersRepresentClasses;
   private final Map<TopologyLevel, int[]> domainByMachine = new EnumMap<>(TopologyLevel.class);
-  private final Map<TopologyLevel, List<TopologyDomain>> domains =
+  private final Map<TopologyLevel, List<PlacementDomain>> domains =
       new EnumMap<>(TopologyLevel.class);
 
   /**
    * A problem.
    *
    * @param capacities one for each machine, in the machines' order
-   * @param membersAreClasses whether each member stands for a class of VMs, which need not keep
-   *     apart from each other
+   * @param membersRepresentClasses whether each member stands for a class of VMs, which need not
+   *     keep apart from each other
    */
   GroupProblem(
       List<MachineTopology> machines,
       List<MachineCapacity> capacities,
       List<GroupMember> members,
       GroupConstraints constraints,
-      boolean membersAreClasses) {
+      boolean membersRepresentClasses) {
     this.machines = List.copyOf(machines);
     this.capacities = List.copyOf(capacities);
     this.members = List.copyOf(members);
     this.constraints = constraints;
-    this.membersAreClasses = membersAreClasses;
+    this.membersRepresentClasses = membersRepresentClasses;
     for (TopologyLevel level : TopologyLevel.values()) {
       numberDomains(level);
     }
@@ -45,10 +45,10 @@
 
   private void numberDomains(TopologyLevel level) {
     int[] numbers = new int[machines.size()];
-    Map<TopologyDomain, Integer> numberByDomain = new LinkedHashMap<>();
+    Map<PlacementDomain, Integer> numberByDomain = new LinkedHashMap<>();
     for (int machine = 0; machine < numbers.length; machine++) {
-      TopologyDomain domain = TopologyDomain.of(machines.get(machine), level);
-      numbers[machine] = numberByDomain.computeIfAbsent(domain, any -> numberByDomain.size());
+      PlacementDomain domain = PlacementDomain.of(machines.get(machine), level);
+      numbers[machine] = numberByDomain.computeIfAbsent(domain, key -> numberByDomain.size());
     }
     domainByMachine.put(level, numbers);
     domains.put(level, List.copyOf(numberByDomain.keySet()));
@@ -63,7 +63,7 @@
   }
 
   /** The machine of a name that this problem's solution gave. */
-  MachineTopology machineNamed(String name) {
+  MachineTopology machineByName(String name) {
     return machines.stream()
         .filter(machine -> machine.name().equals(name))
         .findFirst()
@@ -90,8 +90,8 @@
     return constraints;
   }
 
-  boolean membersAreClasses() {
-    return membersAreClasses;
+  boolean membersRepresentClasses() {
+    return membersRepresentClasses;
   }
 
   boolean isCovered(int member, PlacementConstraint.Scope scope) {
@@ -104,12 +104,12 @@
   }
 
   /** The domains of a level in the order of their numbers. */
-  List<TopologyDomain> domains(TopologyLevel level) {
+  List<PlacementDomain> domains(TopologyLevel level) {
     return domains.get(level);
   }
 
   /** The domain that a machine belongs to. */
-  TopologyDomain domainOf(int machine, TopologyLevel level) {
+  PlacementDomain domainOf(int machine, TopologyLevel level) {
     return domains.get(level).get(domainByMachine.get(level)[machine]);
   }
 }
--- a/src/main/java/fordridge/constraint/MachineCatalog.java
+++ b/src/main/java/fordridge/constraint/MachineCatalog.java
@@ -17,14 +17,14 @@
  */
 final class MachineCatalog {
   /** The number of a machine that was never listed. */
-  static final int NOT_LISTED = -1;
+  static final int UNKNOWN_MACHINE = -1;
 
   private static final RoaringBitmap NO_MACHINES = new RoaringBitmap();
 
   private final Map<String, Integer> numberByName = new LinkedHashMap<>();
   private final List<MachineTopology> machines = new ArrayList<>();
-  private final List<Map<TopologyLevel, TopologyDomain>> domainsByMachine = new ArrayList<>();
-  private final Map<TopologyLevel, Map<TopologyDomain, RoaringBitmap>> machinesByDomain =
+  private final List<Map<TopologyLevel, PlacementDomain>> domainsByMachine = new ArrayList<>();
+  private final Map<TopologyLevel, Map<PlacementDomain, RoaringBitmap>> machinesByDomain =
       new EnumMap<>(TopologyLevel.class);
   private final Map<LabelPredicate, RoaringBitmap> machinesByPredicate = new HashMap<>();
   private final RoaringBitmap listed = new RoaringBitmap();
@@ -65,13 +65,13 @@
     machinesByDomain.clear();
     domainsByMachine.clear();
     for (int number = 0; number < machines.size(); number++) {
-      Map<TopologyLevel, TopologyDomain> domains = new EnumMap<>(TopologyLevel.class);
+      Map<TopologyLevel, PlacementDomain> domains = new EnumMap<>(TopologyLevel.class);
       for (TopologyLevel level : TopologyLevel.values()) {
-        TopologyDomain domain = TopologyDomain.of(machines.get(number), level);
+        PlacementDomain domain = PlacementDomain.of(machines.get(number), level);
         domains.put(level, domain);
         machinesByDomain
-            .computeIfAbsent(level, any -> new HashMap<>())
-            .computeIfAbsent(domain, any -> new RoaringBitmap())
+            .computeIfAbsent(level, key -> new HashMap<>())
+            .computeIfAbsent(domain, key -> new RoaringBitmap())
             .add(number);
       }
       domainsByMachine.add(domains);
@@ -93,9 +93,9 @@
     return version;
   }
 
-  /** The machine's number, or {@link #NOT_LISTED}. */
+  /** The machine's number, or {@link #UNKNOWN_MACHINE}. */
   int numberOf(String name) {
-    return numberByName.getOrDefault(name, NOT_LISTED);
+    return numberByName.getOrDefault(name, UNKNOWN_MACHINE);
   }
 
   MachineTopology machine(int number) {
@@ -103,11 +103,11 @@
   }
 
   boolean isListed(int number) {
-    return number != NOT_LISTED && listed.contains(number);
+    return number != UNKNOWN_MACHINE && listed.contains(number);
   }
 
   boolean isDraining(int number) {
-    return number != NOT_LISTED && draining.contains(number);
+    return number != UNKNOWN_MACHINE && draining.contains(number);
   }
 
   RoaringBitmap listedMachines() {
@@ -115,21 +115,21 @@
   }
 
   /** A new bitmap of the machines that are listed and not draining. */
-  RoaringBitmap openMachines() {
+  RoaringBitmap schedulableMachines() {
     return RoaringBitmap.andNot(listed, draining);
   }
 
-  TopologyDomain domainOf(int number, TopologyLevel level) {
+  PlacementDomain domainOf(int number, TopologyLevel level) {
     return domainsByMachine.get(number).get(level);
   }
 
   /** All machines of a domain, also those that left the list. */
-  RoaringBitmap machinesIn(TopologyDomain domain) {
+  RoaringBitmap machinesIn(PlacementDomain domain) {
     return machinesByDomainOf(domain.level()).getOrDefault(domain, NO_MACHINES);
   }
 
   /** All domains of a level with their machines. */
-  Map<TopologyDomain, RoaringBitmap> machinesByDomainOf(TopologyLevel level) {
+  Map<PlacementDomain, RoaringBitmap> machinesByDomainOf(TopologyLevel level) {
     return machinesByDomain.getOrDefault(level, Map.of());
   }
 
--- a/src/main/java/fordridge/constraint/PlacementAuditor.java
+++ b/src/main/java/fordridge/constraint/PlacementAuditor.java
@@ -1,6 +1,6 @@
 package fordridge.constraint;
 
-import fordridge.constraint.AttemptTracker.TrackedAttempt;
+import fordridge.constraint.PlacementTracker.TrackedAttempt;
 import fordridge.constraint.RejectionReason.Cause;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -15,18 +15,18 @@
  */
 final class PlacementAuditor {
   private final MachineCatalog catalog;
-  private final AttemptTracker tracker;
-  private final CandidateFilter filter;
+  private final PlacementTracker tracker;
+  private final VmConstraintCache constraintCache;
   private final RejectionExplainer explainer;
 
   PlacementAuditor(
       MachineCatalog catalog,
-      AttemptTracker tracker,
-      CandidateFilter filter,
+      PlacementTracker tracker,
+      VmConstraintCache constraintCache,
       RejectionExplainer explainer) {
     this.catalog = catalog;
     this.tracker = tracker;
-    this.filter = filter;
+    this.constraintCache = constraintCache;
     this.explainer = explainer;
   }
 
@@ -37,8 +37,8 @@
         .attempts()
         .forEach(
             (attempt, tracked) -> {
-              List<RejectionReason> reasons = reasonsAgainstPlace(attempt, tracked);
-              reasons.removeIf(reason -> isNoViolation(reason, tracked.machine()));
+              List<RejectionReason> reasons = explainExcludingItself(attempt, tracked);
+              reasons.removeIf(reason -> isNotViolation(reason, tracked.machine()));
               if (!reasons.isEmpty()) {
                 violating.put(attempt, reasons);
               }
@@ -47,7 +47,7 @@
   }
 
   /** What runs on a draining machine may stay there, and preferences do not bind. */
-  private boolean isNoViolation(RejectionReason reason, int machine) {
+  private boolean isNotViolation(RejectionReason reason, int machine) {
     return reason.constraint().isEmpty()
         ? catalog.isDraining(machine)
         : reason.cause() == Cause.PREFERENCE;
@@ -63,7 +63,7 @@
         .forEach(
             (attempt, tracked) -> {
               if (improvable.size() < limit
-                  && filter.applicableConstraints(tracked.vm()).hasPreferences()) {
+                  && constraintCache.applicableConstraints(tracked.vm()).hasPreferences()) {
                 tracker.runWithout(attempt, () -> addIfImprovable(attempt, tracked, improvable));
               }
             });
@@ -86,19 +86,19 @@
   }
 
   private OptionalInt findBetterMachine(TrackedAttempt tracked) {
-    double penalty = filter.preferencePenalty(tracked.vm(), tracked.machine());
+    double penalty = constraintCache.preferencePenalty(tracked.vm(), tracked.machine());
     if (penalty == 0) {
       return OptionalInt.empty();
     }
-    for (int machine : filter.allowedMachines(tracked.vm())) {
-      if (filter.preferencePenalty(tracked.vm(), machine) < penalty) {
+    for (int machine : constraintCache.allowedMachines(tracked.vm())) {
+      if (constraintCache.preferencePenalty(tracked.vm(), machine) < penalty) {
         return OptionalInt.of(machine);
       }
     }
     return OptionalInt.empty();
   }
 
-  private List<RejectionReason> reasonsAgainstPlace(Object attempt, TrackedAttempt tracked) {
+  private List<RejectionReason> explainExcludingItself(Object attempt, TrackedAttempt tracked) {
     List<RejectionReason> reasons = new ArrayList<>();
     tracker.runWithout(attempt, () -> reasons.addAll(explain(tracked)));
     return reasons;
--- a/src/main/java/fordridge/constraint/PlacementCounters.java
+++ b/src/main/java/fordridge/constraint/PlacementCounters.java
@@ -12,12 +12,12 @@
  * combination of tenant, class and service.
  */
 final class PlacementCounters {
-  private record CountersOfVm(List<DomainCounter> all, List<DomainCounter> confirmedOnly) {}
+  private record VmCounters(List<DomainCounter> all, List<DomainCounter> confirmedOnly) {}
 
   private final List<PlacementConstraint> constraints;
   private final MachineCatalog catalog;
   private final Map<CounterKey, DomainCounter> counters = new HashMap<>();
-  private final Map<VmAttributes, CountersOfVm> countersByVm = new HashMap<>();
+  private final Map<VmAttributes, VmCounters> countersByVm = new HashMap<>();
   private long version;
 
   PlacementCounters(List<PlacementConstraint> constraints, MachineCatalog catalog) {
@@ -42,8 +42,8 @@
     addTo(countersOf(vm).confirmedOnly, machine, delta);
   }
 
-  private void addTo(List<DomainCounter> some, int machine, int delta) {
-    some.forEach(counter -> counter.add(machine, delta));
+  private void addTo(List<DomainCounter> targets, int machine, int delta) {
+    targets.forEach(counter -> counter.add(machine, delta));
     version++;
   }
 
@@ -53,7 +53,7 @@
   }
 
   DomainCounter counter(CounterKey key) {
-    return counters.computeIfAbsent(key, absent -> new DomainCounter(catalog, absent.level()));
+    return counters.computeIfAbsent(key, newKey -> new DomainCounter(catalog, newKey.level()));
   }
 
   /**
@@ -67,11 +67,11 @@
         : confirmed;
   }
 
-  private CountersOfVm countersOf(VmAttributes vm) {
+  private VmCounters countersOf(VmAttributes vm) {
     return countersByVm.computeIfAbsent(vm, this::findCounters);
   }
 
-  private CountersOfVm findCounters(VmAttributes vm) {
+  private VmCounters findCounters(VmAttributes vm) {
     Set<DomainCounter> all = new LinkedHashSet<>();
     Set<DomainCounter> confirmedOnly = new LinkedHashSet<>();
     for (PlacementConstraint constraint : constraints) {
@@ -81,6 +81,6 @@
         }
       }
     }
-    return new CountersOfVm(new ArrayList<>(all), new ArrayList<>(confirmedOnly));
+    return new VmCounters(new ArrayList<>(all), new ArrayList<>(confirmedOnly));
   }
 }
--- a/src/main/java/fordridge/constraint/TopologyDomain.java
+++ b/src/main/java/fordridge/constraint/PlacementDomain.java
@@ -7,13 +7,13 @@
  * @param level what kind of domain it is
  * @param name unique among the domains of its level, as operators read it
  */
-record TopologyDomain(TopologyLevel level, String name) {
+record PlacementDomain(TopologyLevel level, String name) {
   /** The domain of a level that the machine belongs to. */
-  static TopologyDomain of(MachineTopology machine, TopologyLevel level) {
+  static PlacementDomain of(MachineTopology machine, TopologyLevel level) {
     return switch (level) {
-      case MACHINE -> new TopologyDomain(level, machine.name());
-      case CELL -> new TopologyDomain(level, machine.zone() + "/" + machine.cell());
-      case ZONE -> new TopologyDomain(level, machine.zone());
+      case MACHINE -> new PlacementDomain(level, machine.name());
+      case CELL -> new PlacementDomain(level, machine.zone() + "/" + machine.cell());
+      case ZONE -> new PlacementDomain(level, machine.zone());
     };
   }
 
--- a/src/main/java/fordridge/constraint/AttemptTracker.java
+++ b/src/main/java/fordridge/constraint/PlacementTracker.java
@@ -7,19 +7,19 @@
  * The attempts that hold a place: from the instant they are sent until their VM is known not to be
  * there. Keeps the counters in step.
  */
-final class AttemptTracker {
+final class PlacementTracker {
   /** One attempt, the machine's number, and whether nobody knows if its VM runs. */
   record TrackedAttempt(VmAttributes vm, int machine, boolean isOutcomeUnknown) {}
 
   private final PlacementCounters counters;
   private final Map<Object, TrackedAttempt> attempts = new LinkedHashMap<>();
 
-  AttemptTracker(PlacementCounters counters) {
+  PlacementTracker(PlacementCounters counters) {
     this.counters = counters;
   }
 
   /** Takes over the attempts of another tracker, and counts them. */
-  AttemptTracker(PlacementCounters counters, AttemptTracker other) {
+  PlacementTracker(PlacementCounters counters, PlacementTracker other) {
     this(counters);
     attempts.putAll(other.attempts);
     recount();
@@ -56,16 +56,16 @@
 
   /** Runs an action while one attempt is left out of the counts; it must not change attempts. */
   void runWithout(Object attempt, Runnable action) {
-    TrackedAttempt leftOut = attempts.get(attempt);
-    if (leftOut == null) {
+    TrackedAttempt excluded = attempts.get(attempt);
+    if (excluded == null) {
       action.run();
       return;
     }
-    count(leftOut, -1);
+    count(excluded, -1);
     try {
       action.run();
     } finally {
-      count(leftOut, 1);
+      count(excluded, 1);
     }
   }
 
--- a/src/main/java/fordridge/constraint/RejectionExplainer.java
+++ b/src/main/java/fordridge/constraint/RejectionExplainer.java
@@ -9,17 +9,17 @@
   private final MachineCatalog catalog;
   private final PlacementCounters counters;
   private final ConstraintEvaluator evaluator;
-  private final CandidateFilter filter;
+  private final VmConstraintCache constraintCache;
 
   RejectionExplainer(
       MachineCatalog catalog,
       PlacementCounters counters,
       ConstraintEvaluator evaluator,
-      CandidateFilter filter) {
+      VmConstraintCache constraintCache) {
     this.catalog = catalog;
     this.counters = counters;
     this.evaluator = evaluator;
-    this.filter = filter;
+    this.constraintCache = constraintCache;
   }
 
   /** Every reason, in the order of the set; each constraint is judged by itself. */
@@ -37,9 +37,9 @@
           RejectionReason.withoutConstraint(
               Cause.MACHINE_DRAINING, "it drains: nothing new goes there"));
     }
-    ApplicableConstraints applicable = filter.applicableConstraints(vm);
+    ApplicableConstraints applicable = constraintCache.applicableConstraints(vm);
     addOwnViolations(applicable.own(), vm, machine, reasons);
-    addViolationsOfOthers(applicable.antiAffinitiesOfOthers(), machine, reasons);
+    addReverseAntiAffinityViolations(applicable.reverseAntiAffinities(), machine, reasons);
     return reasons;
   }
 
@@ -57,18 +57,18 @@
         reasons.add(
             RejectionReason.violated(
                 constraint,
-                strength + ": " + constraint.clause() + circumstances(constraint, vm, machine)));
+                strength + ": " + constraint.clause() + countOrLabels(constraint, vm, machine)));
       }
     }
   }
 
-  private void addViolationsOfOthers(
+  private void addReverseAntiAffinityViolations(
       List<PlacementConstraint> constraints, int machine, List<RejectionReason> reasons) {
     for (PlacementConstraint constraint : constraints) {
       CounterKey key = ApplicableConstraints.scopeCounterKey(constraint);
       DomainCounter counter = counters.counter(key);
       if (counter.occupiedMachines().contains(machine)) {
-        TopologyDomain domain = catalog.domainOf(machine, key.level());
+        PlacementDomain domain = catalog.domainOf(machine, key.level());
         reasons.add(
             RejectionReason.violated(
                 constraint,
@@ -85,7 +85,7 @@
   }
 
   /** The count that the constraint judged by, or the machine's labels. */
-  private String circumstances(PlacementConstraint constraint, VmAttributes vm, int machine) {
+  private String countOrLabels(PlacementConstraint constraint, VmAttributes vm, int machine) {
     List<CounterKey> keys = CounterKey.keysOf(constraint, vm.service());
     if (keys.isEmpty()) {
       MachineTopology topology = catalog.machine(machine);
@@ -98,7 +98,7 @@
           + ")";
     }
     CounterKey key = keys.get(0);
-    TopologyDomain domain = catalog.domainOf(machine, key.level());
+    PlacementDomain domain = catalog.domainOf(machine, key.level());
     return " (" + counters.counter(key).count(domain) + " in " + key.level() + " " + domain + ")";
   }
 }
--- a/src/main/java/fordridge/constraint/CandidateFilter.java
+++ b/src/main/java/fordridge/constraint/VmConstraintCache.java
@@ -11,12 +11,12 @@
  * after a change and kept until the next one. A question about a further machine costs a map and a
  * bitmap look-up.
  */
-final class CandidateFilter {
+final class VmConstraintCache {
   /** A preference and the machines that meet it. */
-  private record Preference(double weight, RoaringBitmap metBy) {}
+  private record Preference(double weight, RoaringBitmap satisfyingMachines) {}
 
   /** What is known about the VMs with the same attributes, each part with the version it is of. */
-  private static final class CachedCandidates {
+  private static final class CachedResults {
     final ApplicableConstraints constraints;
     RoaringBitmap allowed;
     long allowedVersion = NEVER;
@@ -25,7 +25,7 @@
     List<Preference> preferences;
     long preferencesVersion = NEVER;
 
-    CachedCandidates(ApplicableConstraints constraints) {
+    CachedResults(ApplicableConstraints constraints) {
       this.constraints = constraints;
     }
   }
@@ -36,9 +36,9 @@
   private final MachineCatalog catalog;
   private final PlacementCounters counters;
   private final ConstraintEvaluator evaluator;
-  private final Map<VmAttributes, CachedCandidates> cache = new HashMap<>();
+  private final Map<VmAttributes, CachedResults> cache = new HashMap<>();
 
-  CandidateFilter(
+  VmConstraintCache(
       List<PlacementConstraint> constraints,
       MachineCatalog catalog,
       PlacementCounters counters,
@@ -60,7 +60,7 @@
 
   /** Machines that all required constraints leave open; not to be changed. */
   RoaringBitmap allowedMachines(VmAttributes vm) {
-    CachedCandidates cached = cached(vm);
+    CachedResults cached = cached(vm);
     long version = version();
     if (cached.allowedVersion != version) {
       cached.allowed = computeAllowed(cached.constraints, vm, true);
@@ -71,7 +71,7 @@
 
   /** Machines that all required constraints but affinities leave open; not to be changed. */
   RoaringBitmap allowedMachinesIgnoringAffinity(VmAttributes vm) {
-    CachedCandidates cached = cached(vm);
+    CachedResults cached = cached(vm);
     long version = version();
     if (cached.allowedIgnoringAffinityVersion != version) {
       cached.allowedIgnoringAffinity = computeAllowed(cached.constraints, vm, false);
@@ -82,7 +82,7 @@
 
   /** The summed weight of the preferences that the machine does not meet. */
   double preferencePenalty(VmAttributes vm, int machine) {
-    CachedCandidates cached = cached(vm);
+    CachedResults cached = cached(vm);
     long version = version();
     if (cached.preferencesVersion != version) {
       cached.preferences = computePreferences(cached.constraints, vm);
@@ -90,16 +90,17 @@
     }
     double penalty = 0;
     for (Preference preference : cached.preferences) {
-      if (machine != MachineCatalog.NOT_LISTED && !preference.metBy.contains(machine)) {
+      if (machine != MachineCatalog.UNKNOWN_MACHINE
+          && !preference.satisfyingMachines.contains(machine)) {
         penalty += preference.weight;
       }
     }
     return penalty;
   }
 
-  private CachedCandidates cached(VmAttributes vm) {
+  private CachedResults cached(VmAttributes vm) {
     return cache.computeIfAbsent(
-        vm, absent -> new CachedCandidates(ApplicableConstraints.select(constraints, absent)));
+        vm, key -> new CachedResults(ApplicableConstraints.select(constraints, key)));
   }
 
   /** Both parts only increase, so the sum is the same only while neither changes. */
@@ -109,15 +110,15 @@
 
   private RoaringBitmap computeAllowed(
       ApplicableConstraints applicable, VmAttributes vm, boolean withAffinity) {
-    RoaringBitmap allowed = catalog.openMachines();
+    RoaringBitmap allowed = catalog.schedulableMachines();
     for (PlacementConstraint constraint : applicable.own()) {
       boolean isAffinity = constraint.clause() instanceof PlacementConstraint.Affinity;
       if (constraint.isRequired() && (withAffinity || !isAffinity)) {
         evaluator.restrict(allowed, constraint, vm);
       }
     }
-    for (PlacementConstraint constraint : applicable.antiAffinitiesOfOthers()) {
-      evaluator.restrictByOthers(allowed, constraint);
+    for (PlacementConstraint constraint : applicable.reverseAntiAffinities()) {
+      evaluator.restrictByReverseAntiAffinity(allowed, constraint);
     }
     return allowed;
   }
@@ -126,9 +127,9 @@
     List<Preference> preferences = new ArrayList<>();
     for (PlacementConstraint constraint : applicable.own()) {
       if (!constraint.isRequired()) {
-        RoaringBitmap metBy = catalog.openMachines();
-        evaluator.restrict(metBy, constraint, vm);
-        preferences.add(new Preference(constraint.weight(), metBy));
+        RoaringBitmap satisfyingMachines = catalog.schedulableMachines();
+        evaluator.restrict(satisfyingMachines, constraint, vm);
+        preferences.add(new Preference(constraint.weight(), satisfyingMachines));
       }
     }
     return preferences;
--- a/src/test/java/fordridge/constraint/ConstraintIndexTest.java
+++ b/src/test/java/fordridge/constraint/ConstraintIndexTest.java
@@ -36,7 +36,7 @@
   }
 
   @Example
-  void affinityAndAntiAffinityFollowWhatRuns() throws Exception {
+  void affinityAndAntiAffinityDependOnRunningVms() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -55,7 +55,7 @@
   }
 
   @Example
-  void attemptOfUnknownOutcomeKeepsItsPlaceButDrawsNoOtherNear() throws Exception {
+  void attemptOfUnknownOutcomeCountsForAntiAffinityButIsNoAffinityTarget() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -77,7 +77,7 @@
   }
 
   @Example
-  void serviceNumberZeroIsCountedByItself() throws Exception {
+  void serviceZeroIsCountedSeparately() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -90,7 +90,7 @@
   }
 
   @Example
-  void antiAffinityHoldsBothWays() throws Exception {
+  void antiAffinityIsSymmetric() throws Exception {
     ConstraintIndex index = indexOf("rule p: flavour w require apart flavour b per machine;");
     index.attemptSent(1, vm("w", 1), "a");
     assertThat(allowedMachines(index, "b", 1)).doesNotContain("a").hasSize(4);
@@ -99,7 +99,7 @@
   }
 
   @Example
-  void drainingMachineKeepsNoSpreadWaiting() throws Exception {
+  void drainingMachineDoesNotBlockSpreadSkew() throws Exception {
     ConstraintIndex index =
         indexOf("rule s: flavour w require spread within 1 of each service per zone;");
     index.attemptSent(1, vm("w", 7), "a");
@@ -129,7 +129,7 @@
   }
 
   @Example
-  void cycleOfAffinitiesIsBegunByWhoeverComesFirst() throws Exception {
+  void cyclicAffinitiesAllowTheFirstVmAnywhere() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -143,7 +143,7 @@
   }
 
   @Example
-  void relabelledMachineCountsItsVmsInItsNewDomainsAndNamesThem() throws Exception {
+  void relabelledMachineCountsItsVmsInItsNewDomainsAndReportsViolations() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -158,7 +158,7 @@
   }
 
   @Example
-  void vmOnAMachineThatLeftTheListIsNamedWithoutAConstraint() throws Exception {
+  void vmOnAnUnlistedMachineIsReportedWithoutAConstraint() throws Exception {
     ConstraintIndex index = indexOf("rule k: flavour w require on kind std;");
     index.attemptSent(1, vm("w", 1), "e");
     index.machineListReceived(FLEET.subList(0, 4));
@@ -177,24 +177,24 @@
   }
 
   @Example
-  void newSetTakesOverWhatRuns() throws Exception {
+  void newConstraintSetInheritsRunningAttempts() throws Exception {
     ConstraintIndex index = indexOf("rule m: flavour w require spread at most 2 per machine;");
     index.attemptSent(1, vm("w", 1), "a");
     index.attemptSent(2, vm("w", 1), "a");
 
-    ConstraintIndex next =
+    ConstraintIndex newIndex =
         index.withConstraints(parse("rule m: flavour w require spread at most 1 per machine;"), 1);
 
-    assertThat(next.findViolatingPlacements().keySet()).containsExactly(1, 2);
-    assertThat(next.isAllowed(vm("w", 1), "a")).isFalse();
-    next.attemptEnded(1);
-    next.attemptEnded(2);
-    assertThat(next.isAllowed(vm("w", 1), "a")).isTrue();
+    assertThat(newIndex.findViolatingPlacements().keySet()).containsExactly(1, 2);
+    assertThat(newIndex.isAllowed(vm("w", 1), "a")).isFalse();
+    newIndex.attemptEnded(1);
+    newIndex.attemptEnded(2);
+    assertThat(newIndex.isAllowed(vm("w", 1), "a")).isTrue();
     assertThat(index.attemptCount()).as("the two share nothing").isEqualTo(2);
   }
 
   @Example
-  void unsatisfiableLabelsNameTheFewestConstraints() throws Exception {
+  void unsatisfiableLabelsYieldAMinimalConflict() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -224,7 +224,7 @@
   }
 
   @Example
-  void schedulersTogetherKeepAClusterWideLimit() throws Exception {
+  void schedulersTogetherRespectAClusterWideLimit() throws Exception {
     List<PlacementConstraint> constraints =
         parse("rule m: flavour w require spread at most 3 per zone overall;");
     int placed = 0;
@@ -242,7 +242,7 @@
   }
 
   @Example
-  void vmAgainstItsPreferenceIsNamedOnceABetterMachineIsOpen() throws Exception {
+  void improvablePlacementIsReportedOnceABetterMachineIsAllowed() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -262,7 +262,7 @@
   }
 
   @Example
-  void questionThatThrowsLeavesTheCountsAsTheyWere() throws Exception {
+  void countsAreRestoredWhenTheActionThrows() throws Exception {
     ConstraintIndex index = indexOf("rule m: flavour w require spread at most 1 per machine;");
     index.attemptSent(1, vm("w", 1), "a");
 
@@ -279,7 +279,7 @@
   }
 
   @Example
-  void preferencesWeighAndDoNotBind() throws Exception {
+  void preferencesAddPenaltiesButForbidNoMachine() throws Exception {
     ConstraintIndex index =
         indexOf("rule x: flavour w prefer 5 on zone x;\nrule y: flavour w prefer 2 on kind std;");
     assertThat(allowedMachines(index, "w", 1)).hasSize(5);
@@ -289,7 +289,7 @@
   }
 
   @Property(tries = 400, seed = "5150")
-  void agreesWithAPlainScanOfWhatRuns(@ForAll long seed) throws Exception {
+  void agreesWithAFullScanOfRunningVms(@ForAll long seed) throws Exception {
     Random random = new Random(seed);
     List<PlacementConstraint> constraints = ConstraintFixtures.randomConstraints(random);
     ConstraintIndex index = indexOf(constraints, FLEET);
@@ -314,19 +314,19 @@
   private static void assertAgrees(
       ConstraintIndex index, PlacementOracle oracle, VmAttributes vm, MachineTopology machine) {
     boolean isAllowed = oracle.isAllowed(vm, machine);
-    String circumstances =
+    String context =
         ConstraintParser.format(oracle.constraints()) + oracle.running() + vm + machine;
 
-    assertThat(index.isAllowed(vm, machine.name())).as(circumstances).isEqualTo(isAllowed);
+    assertThat(index.isAllowed(vm, machine.name())).as(context).isEqualTo(isAllowed);
     if (isAllowed) {
       assertThat(index.explainRejection(vm, machine.name()))
-          .as("the explanation agrees: " + circumstances)
-          .noneMatch(ConstraintIndexTest::isRequiredAndNoSkew);
+          .as("the explanation agrees: " + context)
+          .noneMatch(ConstraintIndexTest::isRequiredAndNotSkew);
     }
   }
 
   /** A skew is explained by itself, and judged by what the constraints before it leave open. */
-  private static boolean isRequiredAndNoSkew(RejectionReason reason) {
+  private static boolean isRequiredAndNotSkew(RejectionReason reason) {
     PlacementConstraint constraint = reason.constraint().orElseThrow();
     return constraint.isRequired()
         && !(constraint.clause() instanceof PlacementConstraint.SpreadSkew);
--- a/src/test/java/fordridge/constraint/ConstraintParserFuzz.java
+++ b/src/test/java/fordridge/constraint/ConstraintParserFuzz.java
@@ -18,18 +18,19 @@
   public static void fuzzerTestOneInput(byte[] input) {
     String text = new String(input, StandardCharsets.UTF_8);
     try {
-      checkFormatsToTheSame(ConstraintFixtures.parse(text));
+      checkFormattingIsStable(ConstraintFixtures.parse(text));
     } catch (ConstraintSyntaxException e) {
       checkProblemsAreLocated(e.messages());
     }
   }
 
-  private static void checkFormatsToTheSame(List<PlacementConstraint> constraints)
+  private static void checkFormattingIsStable(List<PlacementConstraint> constraints)
       throws ConstraintSyntaxException {
     String formatted = ConstraintParser.format(constraints);
-    String again = ConstraintParser.format(ConstraintFixtures.parse(formatted));
-    if (!again.equals(formatted)) {
-      throw new IllegalStateException("formats as '" + formatted + "', then as '" + again + "'");
+    String reformatted = ConstraintParser.format(ConstraintFixtures.parse(formatted));
+    if (!reformatted.equals(formatted)) {
+      throw new IllegalStateException(
+          "formats as '" + formatted + "', then as '" + reformatted + "'");
     }
   }
 
--- a/src/test/java/fordridge/constraint/ConstraintParserTest.java
+++ b/src/test/java/fordridge/constraint/ConstraintParserTest.java
@@ -50,7 +50,7 @@
   };
 
   @Property(tries = 500, seed = "6160")
-  void formattedConstraintsParseBackToTheSame(@ForAll long seed) throws Exception {
+  void formattedConstraintsParseBackToEqualConstraints(@ForAll long seed) throws Exception {
     List<PlacementConstraint> constraints =
         ConstraintFixtures.randomConstraints(new Random(seed), 4);
 
@@ -74,7 +74,7 @@
   }
 
   @Example
-  void unknownClauseIsReportedWithLineColumnExcerptAndWhatIsAllowed() {
+  void unknownClauseIsReportedWithLineColumnExcerptAndValidClauses() {
     assertThatThrownBy(
             () ->
                 parse(
@@ -86,7 +86,7 @@
   }
 
   @Example
-  void unknownPriorityClassIsReportedWithTheKnownOnes() {
+  void unknownPriorityClassIsReportedWithTheValidNames() {
     KnownNames known =
         new KnownNames(Set.of(), Set.of("matcher", "lobby"), Set.of("std"), Set.of());
 
@@ -97,14 +97,14 @@
   }
 
   @Example
-  void nameUsedTwiceIsReportedWithItsFirstLine() {
+  void duplicateNameIsReportedWithItsFirstLine() {
     assertThatThrownBy(
             () -> parse("rule a: all require on kind x;\nrule a: all require on kind y;"))
         .hasMessageContaining("stands already in line 1");
   }
 
   @Example
-  void deepNestingIsRejectedBeforeItIsParsed() {
+  void deepNestingIsRejectedBeforeParsing() {
     assertThatThrownBy(() -> parse("rule a: all require on " + "(".repeat(5000) + "kind x;"))
         .hasMessageContaining("nested");
     assertThatThrownBy(() -> parse("rule a: all require on " + "not ".repeat(20_000) + "kind x;"))
@@ -112,7 +112,7 @@
   }
 
   @Example
-  void serviceNumberBeyondALongIsRejected() throws Exception {
+  void serviceNumberOutOfLongRangeIsRejected() throws Exception {
     assertThat(parse("rule a: service 9223372036854775807 require on kind x;")).hasSize(1);
     assertThatThrownBy(() -> parse("rule a: service 9223372036854775808 require on kind x;"))
         .hasMessageContaining("1:17")
--- a/src/test/java/fordridge/constraint/ConstraintValidatorTest.java
+++ b/src/test/java/fordridge/constraint/ConstraintValidatorTest.java
@@ -33,7 +33,7 @@
   }
 
   @Example
-  void antiAffinityInSmallerDomainsLeavesAnotherMachineOfTheZone() throws Exception {
+  void antiAffinityPerMachineDoesNotContradictAffinityPerZone() throws Exception {
     assertThat(
             findConflicts(parse(NEAR + "rule a: all require apart service 4 per machine;"), FLEET))
         .as("another machine of the zone will do")
@@ -41,7 +41,7 @@
   }
 
   @Example
-  void labelsThatNoMachineHasTogetherAreAConflictOfTheFewest() throws Exception {
+  void unsatisfiableLabelsAreAMinimalConflict() throws Exception {
     assertThat(
             findConflicts(
                 parse(
@@ -55,8 +55,8 @@
   }
 
   @Example
-  void circleOfAffinityAndAntiAffinityIsAConflict() throws Exception {
-    List<PlacementConstraint> circle =
+  void cycleOfAffinityAndAntiAffinityIsAConflict() throws Exception {
+    List<PlacementConstraint> cyclic =
         parse(
             """
             rule n: flavour w require near flavour a per zone;
@@ -65,7 +65,7 @@
             rule k: all require on not machine e;
             rule m: all require spread at most 1 per machine;""");
 
-    List<ConstraintConflict> conflicts = findConflicts(circle, FLEET);
+    List<ConstraintConflict> conflicts = findConflicts(cyclic, FLEET);
 
     assertThat(conflicts).hasSize(1);
     assertThat(conflicts.get(0).constraints())
@@ -75,8 +75,8 @@
   }
 
   @Example
-  void classesThatKeepApartConflictOnceMachinesVanish() throws Exception {
-    List<PlacementConstraint> apart =
+  void mutuallyAntiAffineClassesConflictOnceTooFewZonesAreListed() throws Exception {
+    List<PlacementConstraint> constraints =
         parse(
             """
             rule x: flavour a require apart flavour b per zone;
@@ -85,16 +85,18 @@
             rule self: flavour a require apart flavour a per zone;
             rule north: customer north and flavour a require on kind std;""");
 
-    assertThat(findConflicts(apart, FLEET)).as("three zones for three").isEmpty();
-    assertThat(findConflicts(apart, FLEET.subList(0, 4)).get(0).constraints())
+    assertThat(findConflicts(constraints, FLEET)).as("three zones for three").isEmpty();
+    assertThat(findConflicts(constraints, FLEET.subList(0, 4)).get(0).constraints())
         .extracting(PlacementConstraint::name)
         .containsExactlyInAnyOrder("x", "y", "z");
-    assertThat(findConflicts(apart, List.of())).as("nothing is known of machines yet").isEmpty();
+    assertThat(findConflicts(constraints, List.of()))
+        .as("nothing is known of machines yet")
+        .isEmpty();
   }
 
   /** What is rejected when read can be placed nowhere, and what is not rejected can begin. */
   @Property(tries = 300, seed = "8180")
-  void labelConflictsAreFoundExactlyWhereAVmHasNoPlace(@ForAll long seed) throws Exception {
+  void labelConflictsAreFoundExactlyWhenAVmHasNoAllowedMachine(@ForAll long seed) throws Exception {
     List<PlacementConstraint> constraints = ConstraintFixtures.randomConstraints(new Random(seed));
 
     boolean hasLabelConflict =
@@ -103,18 +105,18 @@
 
     assertThat(hasLabelConflict)
         .as(ConstraintParser.format(constraints))
-        .isEqualTo(isSomeVmWithoutPlace(new PlacementOracle(constraints, FLEET, List.of())));
+        .isEqualTo(hasVmWithoutAllowedMachine(new PlacementOracle(constraints, FLEET, List.of())));
   }
 
-  private static boolean isSomeVmWithoutPlace(PlacementOracle oracle) {
-    boolean isSomeWithoutPlace = false;
+  private static boolean hasVmWithoutAllowedMachine(PlacementOracle oracle) {
+    boolean isAnyWithoutMachine = false;
     for (String priorityClass : List.of("", "f0", "f1", "f2")) {
       for (long service : new long[] {-1, 0, 1, 2}) {
-        isSomeWithoutPlace |=
+        isAnyWithoutMachine |=
             FLEET.stream()
                 .noneMatch(machine -> oracle.isAllowed(vm(priorityClass, service), machine));
       }
     }
-    return isSomeWithoutPlace;
+    return isAnyWithoutMachine;
   }
 }
--- a/src/test/java/fordridge/constraint/GroupFeasibilityTest.java
+++ b/src/test/java/fordridge/constraint/GroupFeasibilityTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Property;
 
 class GroupFeasibilityTest {
-  private static final double AMPLE_CORES = 1e6;
+  private static final double UNLIMITED_CORES = 1e6;
   private static final List<MachineTopology> FLEET = ConstraintFixtures.FLEET.subList(0, 4);
 
   private static ConstraintIndex index(String text) throws Exception {
@@ -37,12 +37,12 @@
     return index.groupFeasibility(group, machine -> new MachineCapacity(16, 16)).solve(() -> false);
   }
 
-  private static List<String> namesOfConflict(FeasibilityResult result) {
+  private static List<String> conflictNames(FeasibilityResult result) {
     return result.conflictingConstraints().stream().map(PlacementConstraint::name).toList();
   }
 
   @Example
-  void circleOfAffinityAndAntiAffinityIsInfeasible() throws Exception {
+  void cycleOfAffinityAndAntiAffinityIsInfeasible() throws Exception {
     String set =
         """
         rule n: flavour w require near flavour a per zone;
@@ -52,13 +52,13 @@
         """;
     FeasibilityResult withOneTarget = solve(index(set), group("w", "a", "b"));
     assertThat(withOneTarget.verdict()).isEqualTo(Verdict.INFEASIBLE);
-    assertThat(namesOfConflict(withOneTarget)).containsExactlyInAnyOrder("n", "p", "q");
+    assertThat(conflictNames(withOneTarget)).containsExactlyInAnyOrder("n", "p", "q");
     assertThat(withOneTarget.isCapacityExceeded()).isFalse();
     assertThat(solve(index(set), group("w", "a", "b", "a")).verdict()).isEqualTo(Verdict.FEASIBLE);
   }
 
   @Example
-  void groupLargerThanAnyMachineIsInfeasibleForCapacity() throws Exception {
+  void groupLargerThanAnyMachineExceedsCapacity() throws Exception {
     ConstraintIndex index =
         index(
             """
@@ -67,7 +67,7 @@
     FeasibilityResult result = solve(index, group("w", "w", "w"));
     assertThat(result.verdict()).isEqualTo(Verdict.INFEASIBLE);
     assertThat(result.isCapacityExceeded()).isTrue();
-    assertThat(namesOfConflict(result)).containsExactly("n");
+    assertThat(conflictNames(result)).containsExactly("n");
     assertThat(solve(index, group("w", "w")).verdict()).isEqualTo(Verdict.FEASIBLE);
     assertThat(
             solve(index(""), group("v", "v", "v", "v", "v", "v", "v", "v", "v"))
@@ -77,7 +77,7 @@
   }
 
   @Example
-  void runningVmsTakeTheirPlaces() throws Exception {
+  void runningVmsCountTowardsSpreadLimits() throws Exception {
     ConstraintIndex index =
         index(
             """
@@ -87,16 +87,16 @@
     index.attemptSent("x", vm("w", 9), "b");
     FeasibilityResult result = solve(index, group("w", "w"));
     assertThat(result.verdict()).isEqualTo(Verdict.INFEASIBLE);
-    assertThat(namesOfConflict(result)).containsExactly("m");
+    assertThat(conflictNames(result)).containsExactly("m");
     index.attemptEnded("x");
     index.machineListReceived(FLEET.subList(0, 2));
-    assertThat(namesOfConflict(solve(index, group("w", "w"))))
+    assertThat(conflictNames(solve(index, group("w", "w"))))
         .as("a zone vanished")
         .containsExactly("m");
   }
 
   @Example
-  void stoppedSearchClaimsNoPlacement() throws Exception {
+  void stoppedSearchIsNotReportedAsFeasible() throws Exception {
     ConstraintIndex index = index("rule m: flavour w require spread at most 1 per cell;");
     assertThat(
             index
@@ -111,7 +111,7 @@
    * no constraint named in vain.
    */
   @Property(tries = 400, seed = "4711")
-  void agreesWithTryingEverything(@ForAll long seed) throws Exception {
+  void agreesWithExhaustiveSearch(@ForAll long seed) throws Exception {
     Random random = new Random(seed);
     List<PlacementConstraint> constraints = parse(ConstraintFixtures.randomRequiredSet(random));
     List<MachineTopology> fleet = ConstraintFixtures.randomFleet(random, 1 + random.nextInt(5));
@@ -119,11 +119,11 @@
     List<GroupMember> running = new ArrayList<>();
     Map<String, String> machineByRunning = new LinkedHashMap<>();
     for (int i = random.nextInt(3); i > 0; i--) {
-      GroupMember old = randomMember("old" + i, random, 1);
+      GroupMember runningVm = randomMember("old" + i, random, 1);
       String machine = "m" + random.nextInt(fleet.size());
-      running.add(old);
-      machineByRunning.put(old.id(), machine);
-      index.attemptSent(old.id(), old.vm(), machine);
+      running.add(runningVm);
+      machineByRunning.put(runningVm.id(), machine);
+      index.attemptSent(runningVm.id(), runningVm.vm(), machine);
     }
     List<GroupMember> group = new ArrayList<>();
     for (int i = 1 + random.nextInt(4); i > 0; i--) {
@@ -154,23 +154,23 @@
     if (isFeasible) {
       Map<String, String> machineByVm = new LinkedHashMap<>(machineByRunning);
       machineByVm.putAll(result.machineByMember());
-      assertThat(oracle.isKeptBy(machineByVm)).as(oracle + " " + result).isTrue();
+      assertThat(oracle.isSatisfiedBy(machineByVm)).as(oracle + " " + result).isTrue();
     } else {
-      assertConflictIsSmallest(result, oracle, machineByRunning);
+      assertConflictIsMinimal(result, oracle, machineByRunning);
     }
   }
 
-  private static void assertConflictIsSmallest(
+  private static void assertConflictIsMinimal(
       FeasibilityResult result, GroupOracle oracle, Map<String, String> machineByRunning) {
-    double cores = result.isCapacityExceeded() ? oracle.coresPerMachine() : AMPLE_CORES;
+    double cores = result.isCapacityExceeded() ? oracle.coresPerMachine() : UNLIMITED_CORES;
     List<PlacementConstraint> conflicting = result.conflictingConstraints();
-    assertThat(oracle.with(conflicting, cores).hasPlacement(machineByRunning))
+    assertThat(oracle.withConstraintsAndCores(conflicting, cores).hasPlacement(machineByRunning))
         .as("what is named conflicts: " + oracle)
         .isFalse();
     for (PlacementConstraint constraint : conflicting) {
       List<PlacementConstraint> others = new ArrayList<>(conflicting);
       others.remove(constraint);
-      assertThat(oracle.with(others, cores).hasPlacement(machineByRunning))
+      assertThat(oracle.withConstraintsAndCores(others, cores).hasPlacement(machineByRunning))
           .as(oracle + ": " + constraint + " is needed")
           .isTrue();
     }
--- a/src/test/java/fordridge/constraint/GroupOracle.java
+++ b/src/test/java/fordridge/constraint/GroupOracle.java
@@ -26,7 +26,8 @@
     double coresPerMachine) {
 
   /** The same question under other constraints, with other capacity. */
-  GroupOracle with(List<PlacementConstraint> otherConstraints, double otherCoresPerMachine) {
+  GroupOracle withConstraintsAndCores(
+      List<PlacementConstraint> otherConstraints, double otherCoresPerMachine) {
     return new GroupOracle(otherConstraints, fleet, running, group, otherCoresPerMachine);
   }
 
@@ -37,7 +38,7 @@
 
   private boolean hasPlacement(Map<String, String> machineByVm, int next) {
     if (next == group.size()) {
-      return isKeptBy(machineByVm);
+      return isSatisfiedBy(machineByVm);
     }
     for (MachineTopology machine : fleet) {
       Map<String, String> extended = new LinkedHashMap<>(machineByVm);
@@ -50,12 +51,12 @@
   }
 
   /** Whether a placement of all VMs keeps capacity and every constraint on each member. */
-  boolean isKeptBy(Map<String, String> machineByVm) {
+  boolean isSatisfiedBy(Map<String, String> machineByVm) {
     return fleet.stream().allMatch(machine -> fits(machine, machineByVm))
         && constraints.stream()
             .allMatch(
                 constraint ->
-                    group.stream().allMatch(member -> keeps(constraint, member, machineByVm)));
+                    group.stream().allMatch(member -> satisfies(constraint, member, machineByVm)));
   }
 
   private boolean fits(MachineTopology machine, Map<String, String> machineByVm) {
@@ -67,40 +68,40 @@
     return cores <= coresPerMachine;
   }
 
-  private boolean keeps(
+  private boolean satisfies(
       PlacementConstraint constraint, GroupMember member, Map<String, String> machineByVm) {
     Scope scope = constraint.scope();
     if (constraint.clause() instanceof AntiAffinity antiAffinity) {
-      return keepsAntiAffinity(scope, antiAffinity, member, machineByVm);
+      return satisfiesAntiAffinity(scope, antiAffinity, member, machineByVm);
     }
     if (!scope.covers(member.vm())) {
       return true;
     }
     if (constraint.clause() instanceof Affinity affinity) {
-      return keepsAffinity(affinity, member, machineByVm);
+      return satisfiesAffinity(affinity, member, machineByVm);
     }
     if (constraint.clause() instanceof SpreadLimit limit) {
-      return keepsLimit(scope, limit, member, machineByVm);
+      return satisfiesLimit(scope, limit, member, machineByVm);
     }
     return !(constraint.clause() instanceof MachineLabels labels)
         || labels.predicate().matches(machineOf(member, machineByVm));
   }
 
-  private boolean keepsAntiAffinity(
+  private boolean satisfiesAntiAffinity(
       Scope scope, AntiAffinity antiAffinity, GroupMember member, Map<String, String> machineByVm) {
     return allVms().stream()
         .filter(second -> !second.id().equals(member.id()))
-        .filter(second -> areKeptApart(scope, antiAffinity.other(), member, second))
+        .filter(second -> haveAntiAffinity(scope, antiAffinity.other(), member, second))
         .noneMatch(second -> sharesDomain(member, second, antiAffinity.level(), machineByVm));
   }
 
-  private static boolean areKeptApart(
+  private static boolean haveAntiAffinity(
       Scope scope, Scope other, GroupMember first, GroupMember second) {
     return (scope.covers(first.vm()) && other.covers(second.vm()))
         || (scope.covers(second.vm()) && other.covers(first.vm()));
   }
 
-  private boolean keepsAffinity(
+  private boolean satisfiesAffinity(
       Affinity affinity, GroupMember member, Map<String, String> machineByVm) {
     List<GroupMember> others =
         allVms().stream()
@@ -112,7 +113,7 @@
             .anyMatch(second -> sharesDomain(member, second, affinity.level(), machineByVm));
   }
 
-  private boolean keepsLimit(
+  private boolean satisfiesLimit(
       Scope scope, SpreadLimit limit, GroupMember member, Map<String, String> machineByVm) {
     long count =
         allVms().stream()
@@ -131,12 +132,14 @@
 
   private boolean sharesDomain(
       GroupMember first, GroupMember second, TopologyLevel level, Map<String, String> machineByVm) {
-    MachineTopology here = machineOf(first, machineByVm);
-    MachineTopology there = machineOf(second, machineByVm);
+    MachineTopology firstMachine = machineOf(first, machineByVm);
+    MachineTopology secondMachine = machineOf(second, machineByVm);
     return switch (level) {
-      case MACHINE -> here.name().equals(there.name());
-      case CELL -> here.zone().equals(there.zone()) && here.cell() == there.cell();
-      case ZONE -> here.zone().equals(there.zone());
+      case MACHINE -> firstMachine.name().equals(secondMachine.name());
+      case CELL ->
+          firstMachine.zone().equals(secondMachine.zone())
+              && firstMachine.cell() == secondMachine.cell();
+      case ZONE -> firstMachine.zone().equals(secondMachine.zone());
     };
   }
 
--- a/src/test/java/fordridge/constraint/GroupPlanTest.java
+++ b/src/test/java/fordridge/constraint/GroupPlanTest.java
@@ -17,8 +17,8 @@
 import net.jqwik.api.Property;
 
 class GroupPlanTest {
-  private static final int MANY_MACHINES = 20;
-  private static final double AMPLE_CORES = 100;
+  private static final int MACHINES_OF_LARGE_FLEET = 20;
+  private static final double SUFFICIENT_CORES = 100;
 
   private static GroupPlan plan(
       ConstraintIndex index,
@@ -51,8 +51,8 @@
     Map<String, String> machineByMember = new HashMap<>();
     for (String id : plan.placementOrder()) {
       GroupMember member =
-          group.stream().filter(one -> one.id().equals(id)).findFirst().orElseThrow();
-      List<String> best = machinesOfLeastPenalty(index, plan, member, fleet);
+          group.stream().filter(candidate -> candidate.id().equals(id)).findFirst().orElseThrow();
+      List<String> best = machinesOfLowestPenalty(index, plan, member, fleet);
       if (best.isEmpty()) {
         return Optional.empty();
       }
@@ -63,17 +63,17 @@
     return Optional.of(machineByMember);
   }
 
-  private static List<String> machinesOfLeastPenalty(
+  private static List<String> machinesOfLowestPenalty(
       ConstraintIndex index, GroupPlan plan, GroupMember member, List<MachineTopology> fleet) {
     List<String> best = new ArrayList<>();
-    double least = Double.POSITIVE_INFINITY;
+    double lowest = Double.POSITIVE_INFINITY;
     for (MachineTopology machine : fleet) {
       double penalty = penalty(index, plan, member, machine);
-      if (penalty < least) {
-        least = penalty;
+      if (penalty < lowest) {
+        lowest = penalty;
         best.clear();
       }
-      if (penalty == least && penalty < Double.POSITIVE_INFINITY) {
+      if (penalty == lowest && penalty < Double.POSITIVE_INFINITY) {
         best.add(machine.name());
       }
     }
@@ -94,20 +94,20 @@
    * constraint kept at the end.
    */
   @Property(tries = 400, seed = "4711")
-  void plannedGroupIsPlacedWholeWhereMachinesAreFew(@ForAll long seed) throws Exception {
+  void plannedGroupIsPlacedCompletelyOnFewMachines(@ForAll long seed) throws Exception {
     int machines = 1 + new Random(seed).nextInt(5);
 
-    assertPlacementKeepsConstraints(new Random(seed), machines, true);
+    assertPlacementSatisfiesConstraints(new Random(seed), machines, true);
   }
 
   /** Where they are many the choice is free but for near; what is placed whole keeps every rule. */
   @Property(tries = 400, seed = "4711")
-  void plannedGroupKeepsTheConstraintsWhereMachinesAreMany(@ForAll long seed) throws Exception {
-    assertPlacementKeepsConstraints(new Random(seed), MANY_MACHINES, false);
+  void plannedGroupSatisfiesTheConstraintsOnManyMachines(@ForAll long seed) throws Exception {
+    assertPlacementSatisfiesConstraints(new Random(seed), MACHINES_OF_LARGE_FLEET, false);
   }
 
-  private static void assertPlacementKeepsConstraints(
-      Random random, int machines, boolean mustBePlacedWhole) throws Exception {
+  private static void assertPlacementSatisfiesConstraints(
+      Random random, int machines, boolean mustPlaceAllMembers) throws Exception {
     List<PlacementConstraint> constraints = parse(ConstraintFixtures.randomRequiredSet(random));
     List<MachineTopology> fleet = ConstraintFixtures.randomFleet(random, machines);
     ConstraintIndex index = indexOf(constraints, fleet);
@@ -116,24 +116,24 @@
       VmAttributes vm = vm("f" + random.nextInt(3), random.nextInt(2));
       group.add(new GroupMember("new" + i, vm, 1, 1));
     }
-    GroupPlan plan = plan(index, group, AMPLE_CORES, AMPLE_CORES);
+    GroupPlan plan = plan(index, group, SUFFICIENT_CORES, SUFFICIENT_CORES);
     if (plan.rejectionReason().isPresent()) {
       return;
     }
 
     Optional<Map<String, String>> placed = place(index, plan, group, fleet, random);
 
-    GroupOracle oracle = new GroupOracle(constraints, fleet, List.of(), group, AMPLE_CORES);
-    if (mustBePlacedWhole) {
+    GroupOracle oracle = new GroupOracle(constraints, fleet, List.of(), group, SUFFICIENT_CORES);
+    if (mustPlaceAllMembers) {
       assertThat(placed).as(oracle.toString()).isPresent();
     }
     placed.ifPresent(
         machineByMember ->
-            assertThat(oracle.isKeptBy(machineByMember)).as(oracle + " " + placed).isTrue());
+            assertThat(oracle.isSatisfiedBy(machineByMember)).as(oracle + " " + placed).isTrue());
   }
 
   @Example
-  void capacityThatMayComeFreeIsNoReasonToReject() throws Exception {
+  void groupIsNotRejectedForCapacityThatMayBecomeFree() throws Exception {
     ConstraintIndex index =
         indexOf(
             parse("rule n: flavour w require near flavour w per machine;"),
--- a/src/test/java/fordridge/constraint/PlacementBenchmark.java
+++ b/src/test/java/fordridge/constraint/PlacementBenchmark.java
@@ -148,14 +148,14 @@
       int attempt,
       MachineTopology machine) {
     long ownService = placedVms.get(attempt).vm.service();
-    TopologyDomain domain = TopologyDomain.of(machine, level);
+    PlacementDomain domain = PlacementDomain.of(machine, level);
     int count = 0;
     for (int i = 0; i < placedVms.size(); i++) {
       PlacedVm other = placedVms.get(i);
       if (i != attempt
           && scope.covers(other.vm)
           && (!ownServiceOnly || other.vm.service() == ownService)
-          && TopologyDomain.of(other.machine, level).equals(domain)) {
+          && PlacementDomain.of(other.machine, level).equals(domain)) {
         count++;
       }
     }
--- a/src/test/java/fordridge/constraint/PlacementOracle.java
+++ b/src/test/java/fordridge/constraint/PlacementOracle.java
@@ -25,31 +25,31 @@
 
   /** Whether all required constraints let the VM go to the machine. */
   boolean isAllowed(VmAttributes vm, MachineTopology machine) {
-    return keepsOwnConstraints(vm, machine, constraints.size())
+    return satisfiesConstraints(vm, machine, constraints.size())
         && constraints.stream()
-            .noneMatch(constraint -> isKeptAwayByOthers(constraint, vm, machine));
+            .noneMatch(constraint -> violatesReverseAntiAffinity(constraint, vm, machine));
   }
 
   /** By the first so many constraints alone. */
-  private boolean keepsOwnConstraints(VmAttributes vm, MachineTopology machine, int count) {
+  private boolean satisfiesConstraints(VmAttributes vm, MachineTopology machine, int count) {
     for (int i = 0; i < count; i++) {
       PlacementConstraint constraint = constraints.get(i);
       if (constraint.isRequired()
           && constraint.scope().covers(vm)
-          && !keeps(constraint, i, vm, machine)) {
+          && !satisfies(constraint, i, vm, machine)) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean keeps(
+  private boolean satisfies(
       PlacementConstraint constraint, int position, VmAttributes vm, MachineTopology machine) {
     if (constraint.clause() instanceof MachineLabels labels) {
       return labels.predicate().matches(machine);
     }
     if (constraint.clause() instanceof Affinity affinity) {
-      return keepsAffinity(affinity, machine);
+      return satisfiesAffinity(affinity, machine);
     }
     if (constraint.clause() instanceof AntiAffinity antiAffinity) {
       return countIn(machine, antiAffinity.level(), counts(antiAffinity)) == 0;
@@ -59,29 +59,30 @@
           counts(constraint.scope(), limit.level(), limit.perService(), vm);
       return countIn(machine, limit.level(), counts) < limit.limit();
     }
-    return keepsSkew(constraint.scope(), (SpreadSkew) constraint.clause(), position, vm, machine);
+    return satisfiesSkew(
+        constraint.scope(), (SpreadSkew) constraint.clause(), position, vm, machine);
   }
 
-  private boolean keepsAffinity(Affinity affinity, MachineTopology machine) {
+  private boolean satisfiesAffinity(Affinity affinity, MachineTopology machine) {
     Map<String, Integer> counts = counts(affinity.other(), affinity.level());
     return counts.isEmpty() || counts.containsKey(domain(machine, affinity.level()));
   }
 
   /** Against the domain with fewest that the VM could go to by the constraints before. */
-  private boolean keepsSkew(
+  private boolean satisfiesSkew(
       Scope scope, SpreadSkew skew, int position, VmAttributes vm, MachineTopology machine) {
     Map<String, Integer> counts = counts(scope, skew.level(), skew.perService(), vm);
-    int fewest =
+    int minCount =
         fleet.stream()
-            .filter(candidate -> keepsOwnConstraints(vm, candidate, position))
+            .filter(candidate -> satisfiesConstraints(vm, candidate, position))
             .mapToInt(candidate -> countIn(candidate, skew.level(), counts))
             .min()
             .orElse(Integer.MAX_VALUE);
-    int here = countIn(machine, skew.level(), counts);
-    return here == 0 || here + 1 - fewest <= skew.maxSkew();
+    int machineCount = countIn(machine, skew.level(), counts);
+    return machineCount == 0 || machineCount + 1 - minCount <= skew.maxSkew();
   }
 
-  private boolean isKeptAwayByOthers(
+  private boolean violatesReverseAntiAffinity(
       PlacementConstraint constraint, VmAttributes vm, MachineTopology machine) {
     return constraint.isRequired()
         && constraint.clause() instanceof AntiAffinity antiAffinity
