--- a/src/main/java/fordridge/constraint/ApplicableConstraints.java
+++ b/src/main/java/fordridge/constraint/ApplicableConstraints.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * The constraints of a set that concern a VM.
+ * The constraints of a set that apply to a VM.
  *
- * @param own those whose scope covers it, in the set's order
- * @param reverseAntiAffinities required ones that keep the VMs of their scope apart from it, in the
- *     set's order
+ * @param own constraints whose scope covers the VM, in the order of the set
+ * @param reverseAntiAffinities required anti-affinities whose other scope covers the VM, so that it
+ *     may not share a domain with VMs of their scope; in the order of the set
  */
 record ApplicableConstraints(
     List<PlacementConstraint> own, List<PlacementConstraint> reverseAntiAffinities) {
@@ -40,7 +40,10 @@
     return own.stream().anyMatch(constraint -> !constraint.isRequired());
   }
 
-  /** The counter of an anti-affinity's own scope: where VMs that it is kept apart from are. */
+  /**
+   * Returns the key of the counter that an anti-affinity is evaluated against in its reverse
+   * direction: it counts the VMs of the constraint's own scope.
+   */
   static CounterKey scopeCounterKey(PlacementConstraint constraint) {
     PlacementConstraint.AntiAffinity antiAffinity =
         (PlacementConstraint.AntiAffinity) constraint.clause();
--- a/src/main/java/fordridge/constraint/ConflictMinimizer.java
+++ b/src/main/java/fordridge/constraint/ConflictMinimizer.java
@@ -6,9 +6,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Finds a smallest subset of conflicting constraints by QuickXplain (Junker, AAAI 2004): halves the
- * set, and keeps from each half only what the other needs to conflict. If it is stopped, the subset
- * may be larger than need be.
+ * Finds a minimal subset of conflicting constraints with QuickXplain (Junker, AAAI 2004).
+ *
+ * <p>The algorithm splits the set in half and keeps from each half only the constraints that are
+ * needed for a conflict with the other half. If it is stopped, the subset may not be minimal.
  */
 final class ConflictMinimizer {
   private final GroupProblem problem;
@@ -16,7 +17,7 @@
   private final BooleanSupplier shouldStop;
 
   /**
-   * A minimizer.
+   * Creates a minimizer.
    *
    * @param withCapacity whether the machines' capacity is part of the conflict
    */
@@ -26,12 +27,16 @@
     this.shouldStop = shouldStop;
   }
 
-  /** A smallest conflicting subset, in the order of the constraints. */
+  /** Returns a minimal conflicting subset, in the order of the given constraints. */
   List<PlacementConstraint> minimize(List<PlacementConstraint> conflicting) {
     return minimize(List.of(), List.of(), conflicting);
   }
 
-  /** What must be added to the background, of which the latest part is new, for a conflict. */
+  /**
+   * Returns a minimal subset of the candidates that conflicts together with the background. {@code
+   * latestPart} is what was added to the background last; the background is checked only if that is
+   * not empty, or in the first call.
+   */
   private List<PlacementConstraint> minimize(
       List<PlacementConstraint> background,
       List<PlacementConstraint> latestPart,
--- a/src/main/java/fordridge/constraint/ConstraintConflict.java
+++ b/src/main/java/fordridge/constraint/ConstraintConflict.java
@@ -4,15 +4,16 @@
 import java.util.stream.Collectors;
 
 /**
- * Constraints that leave some VMs without any possible placement.
+ * Constraints that together allow no placement of some VMs.
  *
- * @param affectedVms the VMs concerned, in the words of the constraint language
- * @param constraints a smallest set of constraints that conflict
- * @param description what the constraints together make impossible
+ * @param affectedVms the affected VMs, as selectors of the constraint language
+ * @param constraints a minimal set of conflicting constraints
+ * @param description what the constraints make impossible, as the predicate of a sentence whose
+ *     subject is the constraints
  */
 public record ConstraintConflict(
     String affectedVms, List<PlacementConstraint> constraints, String description) {
-  /** The conflict in one line, with name, line and clause of each constraint. */
+  /** The conflict on one line, with the name, line number and clause of each constraint. */
   @Override
   public String toString() {
     return constraints.stream()
--- a/src/main/java/fordridge/constraint/ConstraintEvaluator.java
+++ b/src/main/java/fordridge/constraint/ConstraintEvaluator.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import org.roaringbitmap.RoaringBitmap;
 
-/** Evaluates single constraints against what is counted: which machines they leave open to a VM. */
+/** Evaluates single constraints against the current counts: which machines each allows for a VM. */
 final class ConstraintEvaluator {
   private final MachineCatalog catalog;
   private final PlacementCounters counters;
@@ -15,7 +15,7 @@
     this.schedulerCount = schedulerCount;
   }
 
-  /** Takes out of the candidates what the constraint keeps the VM from. */
+  /** Removes from the candidates the machines that the constraint forbids for the VM. */
   void restrict(RoaringBitmap candidates, PlacementConstraint constraint, VmAttributes vm) {
     PlacementConstraint.Clause clause = constraint.clause();
     if (clause instanceof PlacementConstraint.MachineLabels labels) {
@@ -38,14 +38,17 @@
     }
   }
 
-  /** Takes out of the candidates where VMs run that another scope's anti-affinity keeps away. */
+  /**
+   * Removes from the candidates the machines in domains that hold VMs of the scope of a reverse
+   * anti-affinity.
+   */
   void restrictByReverseAntiAffinity(
       RoaringBitmap candidates, PlacementConstraint reverseAntiAffinity) {
     CounterKey key = ApplicableConstraints.scopeCounterKey(reverseAntiAffinity);
     candidates.andNot(counters.counter(key).occupiedMachines());
   }
 
-  /** Whether the constraint alone keeps the VM from the machine. */
+  /** Whether the constraint, evaluated on its own, forbids the machine for the VM. */
   boolean isViolated(PlacementConstraint constraint, VmAttributes vm, int machine) {
     RoaringBitmap candidates = catalog.schedulableMachines();
     candidates.add(machine);
@@ -80,7 +83,10 @@
         });
   }
 
-  /** The fewest VMs in any domain with a candidate; the largest int where there is none. */
+  /**
+   * Returns the lowest count of VMs in any domain with a candidate, or {@link Integer#MAX_VALUE} if
+   * there is no candidate.
+   */
   private int minCountInCandidateDomains(
       RoaringBitmap candidates, TopologyLevel level, DomainCounter counter) {
     int minCount = Integer.MAX_VALUE;
--- a/src/main/java/fordridge/constraint/ConstraintIndex.java
+++ b/src/main/java/fordridge/constraint/ConstraintIndex.java
@@ -9,18 +9,21 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * A constraint set indexed against one scheduler's VMs and the machines it knows: answers which
- * machines a VM may go to from bitmaps and counters that change as VMs come and go, so that the
- * cost of a placement does not grow with what runs.
+ * Answers which machines a constraint set allows for a VM.
  *
- * <p>A VM counts in its place from the instant its attempt is sent until it is known not to be
- * there; an attempt of unknown outcome keeps its place. Only this scheduler's VMs are counted: a
- * cluster-wide limit is kept by each scheduler keeping to its share.
+ * <p>The index holds the machine list and counts the VMs of one scheduler. Its bitmaps and counters
+ * are updated as attempts start and end, so that the cost of a placement does not grow with the
+ * number of running VMs.
  *
- * <p>Not thread-safe: all calls come from the scheduler's event loop. Free of I/O and clocks.
+ * <p>A VM is counted on its machine from the time its attempt is sent until it is known not to run
+ * there; an attempt of unknown outcome stays counted. Only the VMs of this scheduler are counted: a
+ * cluster-wide limit is divided among the schedulers, and each enforces its share.
+ *
+ * <p>Not thread-safe: all calls come from the scheduler's event loop. The index does no I/O and
+ * reads no clock.
  */
 public final class ConstraintIndex {
-  /** How many improvable placements are of use to a reader. */
+  /** Maximum number of improvable placements in a report to an operator. */
   public static final int MAX_IMPROVABLE_REPORTED = 100;
 
   private final List<PlacementConstraint> constraints;
@@ -33,11 +36,11 @@
   private final PlacementAuditor auditor;
 
   /**
-   * An index without machines and VMs.
+   * Creates an index without machines and VMs.
    *
-   * @param schedulerCount how many schedulers share the cluster-wide limits
-   * @throws UnsatisfiableConstraintsException if a cluster-wide limit is less than one for each
-   *     scheduler
+   * @param schedulerCount the number of schedulers that share the cluster-wide limits
+   * @throws UnsatisfiableConstraintsException if a required cluster-wide limit is less than one VM
+   *     per scheduler
    */
   public ConstraintIndex(List<PlacementConstraint> constraints, int schedulerCount)
       throws UnsatisfiableConstraintsException {
@@ -78,23 +81,23 @@
               + constraint.name()
               + "' (line "
               + constraint.line()
-              + "): at most "
+              + "): the limit of "
               + limit.limit()
               + " per "
               + limit.level()
-              + " over all placers cannot be shared among "
+              + " over all placers cannot be divided among "
               + schedulerCount
-              + " placers that do not talk; allow at least "
+              + " placers, which enforce their shares independently; set a limit of at least "
               + schedulerCount
-              + ", or say it of one placer's own VMs");
+              + ", or remove 'overall' to limit each placer separately");
     }
   }
 
   /**
-   * A new index of the same VMs and machines under another set. This index may be used on, but the
-   * two share nothing.
+   * Creates an index of the same VMs and machines for another constraint set. This index remains
+   * usable; the two share no mutable state.
    *
-   * @throws UnsatisfiableConstraintsException as the constructor
+   * @throws UnsatisfiableConstraintsException under the same condition as the constructor
    */
   public ConstraintIndex withConstraints(
       List<PlacementConstraint> newConstraints, int newSchedulerCount)
@@ -103,15 +106,15 @@
         newConstraints, newSchedulerCount, new MachineCatalog(catalog), Optional.of(tracker));
   }
 
-  /** The set. */
+  /** Returns the constraints of the set, in order. */
   public List<PlacementConstraint> constraints() {
     return constraints;
   }
 
   /**
-   * Takes over the whole machine list. VMs on machines that left stay counted there until they are
-   * known to be gone; VMs on relabelled machines count in the machine's new domains. Counts
-   * everything anew.
+   * Replaces the machine list and rebuilds all counts. VMs on machines that left the list stay
+   * counted there until they are known to have ended; VMs on relabelled machines are counted in the
+   * new domains of their machine.
    */
   public void machineListReceived(Collection<MachineTopology> machines) {
     catalog.replaceListed(machines);
@@ -120,17 +123,17 @@
   }
 
   /**
-   * Takes over which machines drain, by name. What runs there counts as ever; nothing new goes
-   * there.
+   * Replaces the set of draining machines, given by name. VMs on a draining machine stay counted;
+   * no new VM is allowed on it.
    */
   public void drainingMachinesChanged(Collection<String> names) {
     catalog.replaceDraining(names);
   }
 
   /**
-   * An attempt was sent to a machine; ignored for a machine that was never listed.
+   * Records that an attempt was sent to a machine; ignored for a machine that was never listed.
    *
-   * @param attempt identifies the attempt by its {@code equals}
+   * @param attempt the identity of the attempt, compared with {@code equals}
    */
   public void attemptSent(Object attempt, VmAttributes vm, String machineName) {
     int machine = catalog.numberOf(machineName);
@@ -140,24 +143,25 @@
   }
 
   /**
-   * The VM of an attempt may run or not, and nobody waits for it any more: it keeps its place
-   * against every limit, but draws no other VM near.
+   * Records that the outcome of an attempt is unknown and no longer awaited: its VM may or may not
+   * run. It stays counted for anti-affinities and spreads, but an affinity treats it as a target
+   * only while there is no other target.
    */
   public void attemptOutcomeUnknown(Object attempt) {
     tracker.markOutcomeUnknown(attempt);
   }
 
-  /** The VM of an attempt is known not to be there any more. */
+  /** Records that the VM of an attempt is known not to run on its machine any more. */
   public void attemptEnded(Object attempt) {
     tracker.remove(attempt);
   }
 
-  /** How many attempts hold a place. */
+  /** Returns the number of tracked attempts. */
   public int attemptCount() {
     return tracker.attempts().size();
   }
 
-  /** Whether all required constraints let the VM go to the machine. */
+  /** Whether all required constraints allow the VM on the machine. */
   public boolean isAllowed(VmAttributes vm, String machineName) {
     if (constraints.isEmpty()) {
       return true;
@@ -167,28 +171,35 @@
         && constraintCache.allowedMachines(vm).contains(machine);
   }
 
-  /** As {@link #isAllowed}, for a VM whose place near others is fixed by the plan of its group. */
+  /**
+   * Same as {@link #isAllowed} without affinities, for a VM whose domain is fixed by the plan of
+   * its group.
+   */
   public boolean isAllowedIgnoringAffinity(VmAttributes vm, String machineName) {
     int machine = catalog.numberOf(machineName);
     return machine != MachineCatalog.UNKNOWN_MACHINE
         && constraintCache.allowedMachinesIgnoringAffinity(vm).contains(machine);
   }
 
-  /** The summed weight of the preferences that a machine does not meet; 0 if it meets them all. */
+  /**
+   * Returns the total weight of the preferences that a machine does not satisfy; 0 if it satisfies
+   * all of them.
+   */
   public double preferencePenalty(VmAttributes vm, String machineName) {
     return constraints.isEmpty()
         ? 0
         : constraintCache.preferencePenalty(vm, catalog.numberOf(machineName));
   }
 
-  /** Whether any constraint concerns such VMs. */
+  /** Whether any constraint applies to VMs with these attributes. */
   public boolean hasConstraintsFor(VmAttributes vm) {
     return !constraints.isEmpty() && !constraintCache.applicableConstraints(vm).isEmpty();
   }
 
   /**
-   * A smallest set of required label constraints that no listed machine meets together, whatever
-   * runs where; empty if there is such a machine, or no machine is listed.
+   * Returns a minimal set of required label constraints that no listed machine satisfies together,
+   * regardless of what runs; empty if some machine satisfies all of them, or if no machine is
+   * listed.
    */
   public List<PlacementConstraint> findUnsatisfiableConstraints(VmAttributes vm) {
     if (constraints.isEmpty() || catalog.listedMachines().isEmpty()) {
@@ -223,10 +234,10 @@
   }
 
   /**
-   * The question whether some VMs can run all at once beside what runs now. It is a copy, which may
-   * be answered on another thread; later changes do not affect it.
+   * Creates the problem of running all given VMs at the same time, in addition to what runs now. It
+   * is a snapshot: it may be solved on another thread, and later changes do not affect it.
    *
-   * @param capacityByMachine asked once for each open machine, by name
+   * @param capacityByMachine called once for each schedulable machine, with its name
    */
   public GroupFeasibility groupFeasibility(
       List<GroupMember> members, Function<String, MachineCapacity> capacityByMachine) {
@@ -234,8 +245,8 @@
   }
 
   /**
-   * As {@link #groupFeasibility}, for one VM of each of some classes: those of one class need not
-   * keep apart from each other.
+   * Same as {@link #groupFeasibility} for one VM of each class. An anti-affinity does not apply
+   * between two members that its scope and its other scope both cover.
    */
   GroupFeasibility classFeasibility(
       List<GroupMember> classes, Function<String, MachineCapacity> capacityByMachine) {
@@ -259,32 +270,37 @@
   }
 
   /**
-   * Every reason, required or preferred, that speaks against the machine; empty where the VM may go
-   * there.
+   * Returns every reason, required or preferred, against placing the VM on the machine; empty if
+   * there is none.
    */
   public List<RejectionReason> explainRejection(VmAttributes vm, String machineName) {
     return explainer.explain(vm, machineName);
   }
 
   /**
-   * VMs that run where this set, or their machine's new labels, would not let them go, each with
-   * the reasons. They are named, not stopped. The cost grows with what runs.
+   * Returns the attempts whose machine is forbidden by a required constraint of this set or is no
+   * longer listed, each with the reasons. They are reported, not stopped. The cost grows with the
+   * number of running VMs.
    */
   public Map<Object, List<RejectionReason>> findViolatingPlacements() {
     return auditor.findViolatingPlacements();
   }
 
   /**
-   * VMs that run against preferences which a machine open to them would meet better now, each with
-   * the preferences and one such machine. The cost grows with what runs.
+   * Returns attempts that violate preferences which another allowed machine would satisfy better,
+   * each with these preferences and one such machine. The cost grows with the number of running
+   * VMs.
    *
-   * @param limit most VMs to return
+   * @param limit the maximum number of attempts to return
    */
   public Map<Object, List<RejectionReason>> findImprovablePlacements(int limit) {
     return auditor.findImprovablePlacements(limit);
   }
 
-  /** Runs questions while one attempt is left out of the counts; unknown attempts are ignored. */
+  /**
+   * Runs queries while one attempt is excluded from the counts; has no effect on the counts if the
+   * attempt is not tracked.
+   */
   public void withoutAttempt(Object attempt, Runnable queries) {
     tracker.runWithout(attempt, queries);
   }
--- a/src/main/java/fordridge/constraint/ConstraintParser.java
+++ b/src/main/java/fordridge/constraint/ConstraintParser.java
@@ -14,11 +14,11 @@
 import org.antlr.v4.runtime.Recognizer;
 
 /**
- * Parses and formats constraint sets. Texts are bounded in length and nesting, so that no input
- * exhausts the stack.
+ * Parses and formats constraint sets. The length and the nesting of a text are limited, so that no
+ * input exhausts the stack.
  */
 public final class ConstraintParser {
-  /** Names that constraints may use; an empty set leaves that field unchecked. */
+  /** Names that constraints may use; a field with an empty set is not checked. */
   public record KnownNames(
       Set<String> tenants, Set<String> priorityClasses, Set<String> kinds, Set<String> zones) {
     /** Accepts every name. */
@@ -29,7 +29,7 @@
   private static final int MAX_TEXT_CHARACTERS = 1 << 20;
   private static final int MAX_PARENTHESIS_DEPTH = 200;
 
-  /** Each {@code not} nests the parser once. */
+  /** Each {@code not} adds one level to the recursion of the parser. */
   private static final int MAX_NEGATIONS = 20_000;
 
   private static final Pattern NEGATION = Pattern.compile("\\bnot\\b");
@@ -37,9 +37,9 @@
   private ConstraintParser() {}
 
   /**
-   * Parses a set.
+   * Parses a constraint set.
    *
-   * @throws ConstraintSyntaxException with all problems of the text if there is any
+   * @throws ConstraintSyntaxException with all problems of the text, if it has any
    */
   public static List<PlacementConstraint> parse(String text, KnownNames knownNames)
       throws ConstraintSyntaxException {
@@ -55,7 +55,10 @@
     return constraints;
   }
 
-  /** One constraint a line; parses back to an equal set. */
+  /**
+   * Formats a set with one constraint on each line. The text parses back to an equal set, except
+   * for the line numbers.
+   */
   public static String format(List<PlacementConstraint> constraints) {
     StringBuilder text = new StringBuilder();
     constraints.forEach(constraint -> text.append(constraint).append('\n'));
@@ -67,7 +70,10 @@
       throw new ConstraintSyntaxException(
           List.of(
               SourceText.problemOfWholeText(
-                  text.length() + " characters, at most " + MAX_TEXT_CHARACTERS)));
+                  "the text has "
+                      + text.length()
+                      + " characters, the maximum is "
+                      + MAX_TEXT_CHARACTERS)));
     }
   }
 
@@ -77,14 +83,21 @@
       throw new ConstraintSyntaxException(
           List.of(
               SourceText.problemOfWholeText(
-                  "nested " + depth + " deep, at most " + MAX_PARENTHESIS_DEPTH)));
+                  "parentheses are nested "
+                      + depth
+                      + " levels deep, the maximum is "
+                      + MAX_PARENTHESIS_DEPTH)));
     }
     int negations = countNegations(text);
     if (negations >= MAX_NEGATIONS) {
       throw new ConstraintSyntaxException(
           List.of(
               SourceText.problemOfWholeText(
-                  "'not' " + negations + " times, fewer than " + MAX_NEGATIONS + " allowed")));
+                  "'not' occurs "
+                      + negations
+                      + " times, fewer than "
+                      + MAX_NEGATIONS
+                      + " allowed")));
     }
   }
 
@@ -130,7 +143,7 @@
     }
   }
 
-  /** Turns what the lexer and the parser report into problems with an excerpt. */
+  /** Collects the errors of the lexer and the parser as problems with an excerpt of the text. */
   private static final class ProblemCollector extends BaseErrorListener {
     private final SourceText source;
     private final List<ConstraintSyntaxException.Problem> problems;
--- a/src/main/java/fordridge/constraint/ConstraintSyntaxException.java
+++ b/src/main/java/fordridge/constraint/ConstraintSyntaxException.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 
-/** A text that is no constraint set; holds every problem found. */
+/** Thrown for a text that is not a valid constraint set; holds every problem found. */
 public final class ConstraintSyntaxException extends Exception {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Where a text is wrong, and what would be right.
+   * A position at which a text is invalid, and what is valid there.
    *
-   * @param line from 1
-   * @param column from 1
-   * @param excerpt the line's text, shortened; empty for problems of the text as a whole
+   * @param line line number, from 1
+   * @param column column number, from 1
+   * @param excerpt the text of the line, shortened; empty for problems of the text as a whole
    * @param description what is wrong and what is allowed
    */
   public record Problem(int line, int column, Optional<String> excerpt, String description) {
--- a/src/main/java/fordridge/constraint/ConstraintTreeReader.java
+++ b/src/main/java/fordridge/constraint/ConstraintTreeReader.java
@@ -20,8 +20,8 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Turns the parser's tree into constraints, and reports what the grammar cannot see: unknown names,
- * names used twice, numbers out of range.
+ * Converts the parse tree into constraints, and reports errors that the grammar does not exclude:
+ * unknown names, duplicate names and numbers out of range.
  */
 final class ConstraintTreeReader extends ConstraintsBaseVisitor<PlacementConstraint.Clause> {
   private static final int MAX_NUMBER = 1_000_000;
@@ -40,7 +40,7 @@
     this.problems = problems;
   }
 
-  /** All constraints of a file; of use only if no problem was reported. */
+  /** Reads all constraints of a file; the result is meaningful only if no problem was reported. */
   List<PlacementConstraint> readAll(ConstraintsParser.FileContext file) {
     List<PlacementConstraint> constraints = new ArrayList<>();
     for (ConstraintsParser.ConstraintContext context : file.constraint()) {
@@ -65,7 +65,11 @@
     if (firstLine != null) {
       report(
           name,
-          "rule '" + name.getText() + "' stands already in line " + firstLine + "; each name once");
+          "rule '"
+              + name.getText()
+              + "' is already defined in line "
+              + firstLine
+              + "; names must be unique");
     }
   }
 
@@ -100,7 +104,8 @@
       String number = textOf(value);
       services.add(number);
       if (!isServiceNumber(number)) {
-        report(value.start, "service '" + number + "' is not a number");
+        report(
+            value.start, "service '" + number + "' is not a number from 0 to 9223372036854775807");
       }
     }
   }
@@ -122,7 +127,9 @@
     if (!valuesReadSoFar.isEmpty()) {
       report(
           selector.field,
-          "'" + selector.field.getText() + "' twice in one scope; list its values with commas");
+          "'"
+              + selector.field.getText()
+              + "' occurs twice in one scope; separate its values by commas instead");
     }
   }
 
@@ -196,11 +203,11 @@
       case ZONE -> checkKnown(token, value, knownNames.zones(), key.toString());
       case CELL -> {
         if (!CELL_NUMBER.matcher(value).matches()) {
-          report(token, "cell '" + value + "' is not a number");
+          report(token, "cell '" + value + "' is not a number of at most 9 digits");
         }
       }
       case MACHINE -> {
-        // Machines come and go: any name may be used.
+        // Machines join and leave the cluster, so any name is valid.
       }
     }
   }
@@ -214,7 +221,7 @@
     } catch (NumberFormatException e) {
       // Too large for an int: reported below as out of range.
     }
-    report(token, "found " + token.getText() + ", allowed: a number from 1 to " + MAX_NUMBER);
+    report(token, "number " + token.getText() + " is out of range; allowed: 1 to " + MAX_NUMBER);
     return 1;
   }
 
@@ -235,7 +242,7 @@
               + field
               + " '"
               + name
-              + "'; there are "
+              + "'; valid values: "
               + String.join(", ", new TreeSet<>(allowed)));
     }
   }
--- a/src/main/java/fordridge/constraint/ConstraintValidator.java
+++ b/src/main/java/fordridge/constraint/ConstraintValidator.java
@@ -17,25 +17,30 @@
 import java.util.stream.Collectors;
 
 /**
- * Finds in a constraint set what no placement could ever meet, before any VM is rejected for it.
- * Looks at one VM of each class that the set tells apart, and names a smallest set of conflicting
- * constraints.
+ * Finds constraints that no placement can satisfy, before any VM is rejected because of them.
  *
- * <p>By counts alone nothing is impossible for the first VM: an affinity holds while there is none
- * of the others, a spread has room for one. So what can be found is: labels that no machine has
- * together; a VM that must be near what it must also keep apart from, which could go nowhere as
- * soon as one of those runs; and classes of which one VM each could never run at once.
+ * <p>The validator checks one sample VM of each class that the set distinguishes, and reports
+ * minimal sets of conflicting constraints.
+ *
+ * <p>Counts alone never make the first VM impossible to place: an affinity is satisfied while none
+ * of its targets run, and every spread has room for one VM. The conflicts that can be found are
+ * therefore: label constraints that no machine satisfies together; a VM with an affinity and an
+ * anti-affinity to the same VMs, which has no allowed machine once one of those runs; and classes
+ * of which one VM each can never run at the same time.
  */
 public final class ConstraintValidator {
-  /** Longest time that validating one set may take. */
+  /** Maximum time for the validation of one set. */
   public static final Duration TIME_LIMIT = Duration.ofSeconds(1);
 
-  /** Most classes that are judged together; further ones are judged one at a time only. */
+  /**
+   * Maximum number of classes that are checked together; further classes are checked only
+   * individually.
+   */
   private static final int MAX_CLASSES_CHECKED_TOGETHER = 200;
 
   private static final MachineCapacity UNUSED_CAPACITY = new MachineCapacity(1, 1);
 
-  /** One VM of a class; an empty value stands for one that no constraint names. */
+  /** A sample VM of a class; an empty field stands for a value that no constraint names. */
   private record SampleVm(String tenant, String priorityClass, String service) {
     private static final long UNNAMED_SERVICE = -1;
 
@@ -53,14 +58,14 @@
       return new VmAttributes(tenant, priorityClass, number);
     }
 
-    /** The class in the words of the constraint language. */
+    /** The class as selectors of the constraint language. */
     @Override
     public String toString() {
       List<String> selectors = new ArrayList<>();
       addSelector(selectors, "customer ", tenant);
       addSelector(selectors, "flavour ", priorityClass);
       addSelector(selectors, "service ", service);
-      return selectors.isEmpty() ? "any kind" : String.join(" ", selectors);
+      return selectors.isEmpty() ? "any class" : String.join(" ", selectors);
     }
 
     private static void addSelector(List<String> selectors, String field, String value) {
@@ -74,7 +79,7 @@
   private final ConstraintIndex index;
   private final BooleanSupplier shouldStop;
 
-  /** By the names of the conflicting constraints, in the order in which they were found. */
+  /** Conflicts by the names of their constraints, in the order in which they were found. */
   private final Map<Set<String>, ConstraintConflict> conflicts = new LinkedHashMap<>();
 
   private ConstraintValidator(
@@ -87,7 +92,10 @@
     index.machineListReceived(machines);
   }
 
-  /** How a limit is shared among schedulers does not bear on what is possible at all. */
+  /**
+   * Creates an index without the spread limits. How a limit is divided among schedulers does not
+   * affect whether a placement is possible at all.
+   */
   private static ConstraintIndex indexWithoutSpreadLimits(List<PlacementConstraint> constraints) {
     List<PlacementConstraint> withoutLimits =
         constraints.stream()
@@ -96,13 +104,13 @@
     try {
       return new ConstraintIndex(withoutLimits, 1);
     } catch (UnsatisfiableConstraintsException e) {
-      throw new IllegalStateException("a set without limits was rejected", e);
+      throw new IllegalStateException("constraint set without spread limits was rejected", e);
     }
   }
 
   /**
-   * All conflicts; without machines only those that hold on any. {@code shouldStop} is polled and
-   * ends a long search with what was found by then.
+   * Returns all conflicts; without machines, only those that exist on any machines. {@code
+   * shouldStop} is polled during a long search and ends it with the conflicts found so far.
    */
   public static List<ConstraintConflict> findConflicts(
       List<PlacementConstraint> constraints,
@@ -129,7 +137,10 @@
     return List.copyOf(conflicts.values());
   }
 
-  /** The values that the scopes name, and the empty one for a value that none names. */
+  /**
+   * Returns the values of a field that the scopes name, and the empty string for a value that no
+   * scope names.
+   */
   private Set<String> namedValues(Function<Scope, Set<String>> field) {
     Set<String> values = new TreeSet<>();
     values.add("");
@@ -165,14 +176,18 @@
       for (PlacementConstraint second : required) {
         if (second.clause() instanceof AntiAffinity antiAffinity
             && contradicts(affinity, antiAffinity)) {
-          String description = "leave no place as soon as one of " + affinity.other() + " runs";
+          String description =
+              "leave no allowed machines once a VM of " + affinity.other() + " runs";
           add(vm.toString(), List.of(first, second), description);
         }
       }
     }
   }
 
-  /** Whether all that the affinity draws to is kept away from, in domains at least as large. */
+  /**
+   * Whether the anti-affinity forbids every domain that the affinity requires: it covers all
+   * targets of the affinity, in domains at least as large.
+   */
   private static boolean contradicts(Affinity affinity, AntiAffinity antiAffinity) {
     return isSubset(affinity.other(), antiAffinity.other())
         && antiAffinity.level().compareTo(affinity.level()) >= 0;
@@ -189,9 +204,9 @@
   }
 
   /**
-   * One VM of each class that the required constraints name must be able to run at once, by labels,
-   * affinities and anti-affinities. How many of a class a spread lets run is no conflict, nor are
-   * VMs of one class that keep apart from each other.
+   * Checks whether one VM of each class that the required constraints name can run at the same time
+   * under label constraints, affinities and anti-affinities. It is no conflict that a spread limits
+   * the VMs of a class, or that VMs of one class have an anti-affinity to each other.
    */
   private void checkClassesTogether() {
     List<GroupMember> classes =
@@ -207,7 +222,7 @@
               .filter(vm -> isCoveredByAny(vm, conflicting))
               .map(GroupMember::id)
               .collect(Collectors.joining(" and "));
-      add(affected, conflicting, "leave no places for one of each at once");
+      add(affected, conflicting, "do not allow one VM of each class to run at the same time");
     }
   }
 
--- a/src/main/java/fordridge/constraint/CounterKey.java
+++ b/src/main/java/fordridge/constraint/CounterKey.java
@@ -5,12 +5,12 @@
 import java.util.OptionalLong;
 
 /**
- * What a counter counts: VMs of a scope by the domains of a level.
+ * Identifies a counter, which counts the VMs of a scope by the domains of a level.
  *
- * @param scope the VMs
- * @param level the domains
- * @param service the only service counted; empty counts all services together
- * @param confirmedOnly whether attempts of unknown outcome are left out
+ * @param scope the VMs to count
+ * @param level the level of the domains
+ * @param service the only service to count; empty to count all services together
+ * @param confirmedOnly whether attempts of unknown outcome are excluded
  */
 record CounterKey(Scope scope, TopologyLevel level, OptionalLong service, boolean confirmedOnly) {
 
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Everything that a constraint counts for a VM of a service; the first key is the one that its
-   * rejections are explained by. Empty for constraints on labels.
+   * Returns the keys of all counters that a constraint needs for a VM of a service; the count of
+   * the first key explains a rejection. Empty for label constraints.
    */
   static List<CounterKey> keysOf(PlacementConstraint constraint, long service) {
     if (constraint.clause() instanceof PlacementConstraint.Affinity affinity) {
@@ -58,7 +58,7 @@
     return List.of();
   }
 
-  /** Whether a VM counts here. */
+  /** Whether the counter counts the VM. */
   boolean covers(VmAttributes vm) {
     return scope.covers(vm) && (service.isEmpty() || service.getAsLong() == vm.service());
   }
--- a/src/main/java/fordridge/constraint/DomainCounter.java
+++ b/src/main/java/fordridge/constraint/DomainCounter.java
@@ -6,8 +6,8 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Counts VMs by the domains of one level, and keeps the machines of all domains that hold any as a
- * bitmap. A change costs the size of one domain at most.
+ * Counts VMs by the domains of one level, and maintains a bitmap of the machines in occupied
+ * domains, those with at least one VM. A change costs at most the size of one domain.
  */
 final class DomainCounter {
   private final MachineCatalog catalog;
@@ -21,7 +21,7 @@
     this.level = level;
   }
 
-  /** Counts VMs on a machine: positive to add, negative to take out. */
+  /** Adds VMs on a machine to the count; a negative {@code delta} removes them. */
   void add(int machine, int delta) {
     PlacementDomain domain = catalog.domainOf(machine, level);
     int count = countByDomain.merge(domain, delta, Integer::sum);
@@ -42,17 +42,17 @@
     return total == 0;
   }
 
-  /** Machines of the domains that hold any; not to be changed. */
+  /** Returns the machines of the occupied domains; callers must not modify the bitmap. */
   RoaringBitmap occupiedMachines() {
     return occupiedMachines;
   }
 
-  /** Visits each domain that holds any, in no particular order. */
+  /** Visits each occupied domain with its count, in no particular order. */
   void forEachOccupiedDomain(ObjIntConsumer<PlacementDomain> visitor) {
     countByDomain.forEach(visitor::accept);
   }
 
-  /** A copy of the counts of all domains that hold any. */
+  /** Returns a copy of the counts of all occupied domains. */
   Map<PlacementDomain, Integer> copyOfCounts() {
     return Map.copyOf(countByDomain);
   }
--- a/src/main/java/fordridge/constraint/FeasibilityResult.java
+++ b/src/main/java/fordridge/constraint/FeasibilityResult.java
@@ -4,28 +4,28 @@
 import java.util.Map;
 
 /**
- * Whether the members of a group can run all at once.
+ * Whether all members of a group can run at the same time.
  *
- * @param verdict the answer
- * @param machineByMember for {@link Verdict#FEASIBLE} a machine for each member, in the order in
- *     which they are best placed; empty otherwise
- * @param conflictingConstraints for {@link Verdict#INFEASIBLE} a smallest set of constraints that
- *     conflict, or the smallest found before the search was stopped; empty otherwise
- * @param isCapacityExceeded for {@link Verdict#INFEASIBLE}, whether the conflict is with the
- *     machines' capacity
+ * @param verdict the outcome of the search
+ * @param machineByMember for {@link Verdict#FEASIBLE}, a machine for each member, in the order in
+ *     which the members should be placed; otherwise empty
+ * @param conflictingConstraints for {@link Verdict#INFEASIBLE}, a minimal set of conflicting
+ *     constraints, or the smallest found before the search was stopped; otherwise empty
+ * @param isCapacityExceeded for {@link Verdict#INFEASIBLE}, whether the machines' capacity is part
+ *     of the conflict
  */
 public record FeasibilityResult(
     Verdict verdict,
     Map<String, String> machineByMember,
     List<PlacementConstraint> conflictingConstraints,
     boolean isCapacityExceeded) {
-  /** The answers. */
+  /** The outcome of a search. */
   public enum Verdict {
-    /** All members can run at once. */
+    /** All members can run at the same time. */
     FEASIBLE,
     /** No placement of all members exists. */
     INFEASIBLE,
-    /** The search was stopped, or there are no machines to judge by. */
+    /** The search was stopped, or no machine is schedulable. */
     UNKNOWN
   }
 
--- a/src/main/java/fordridge/constraint/GroupConstraints.java
+++ b/src/main/java/fordridge/constraint/GroupConstraints.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 
 /**
- * The required constraints that concern a group, and a copy of the counts of running VMs that they
- * are judged by.
+ * The required constraints that apply to a group, with a copy of the counts of running VMs that
+ * they are evaluated against.
  *
- * @param constraints in the set's order
- * @param schedulerCount how many schedulers share the cluster-wide limits
- * @param countsByKey running VMs by domain, as constraints count them
- * @param targetDomainsByAffinity the domains that each affinity draws to by what runs already
+ * @param constraints in the order of the set
+ * @param schedulerCount the number of schedulers that share the cluster-wide limits
+ * @param countsByKey running VMs by domain, for each counter that the constraints need
+ * @param targetDomainsByAffinity for each affinity, the domains in which its targets already run
  */
 record GroupConstraints(
     List<PlacementConstraint> constraints,
@@ -58,12 +58,12 @@
             && antiAffinity.other().covers(member.vm()));
   }
 
-  /** Running VMs by domain; empty where none is counted. */
+  /** Returns the counts of running VMs by domain; empty if there are none. */
   Map<PlacementDomain, Integer> counts(CounterKey key) {
     return countsByKey.getOrDefault(key, Map.of());
   }
 
-  /** The domains that an affinity draws to by what runs already; empty while nothing runs. */
+  /** Returns the domains in which targets of an affinity already run; empty if none run. */
   Set<PlacementDomain> targetDomains(Affinity affinity) {
     return targetDomainsByAffinity.getOrDefault(affinity, Set.of());
   }
--- a/src/main/java/fordridge/constraint/GroupFeasibility.java
+++ b/src/main/java/fordridge/constraint/GroupFeasibility.java
@@ -7,12 +7,15 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Answers whether the members of a group can run all at once, on machines and beside VMs as they
- * were when the question was put; may be asked on another thread. Free of I/O and clocks.
+ * Determines whether all members of a group can run at the same time.
  *
- * <p>Members are judged by where they end up. Affinity holds among the members themselves and with
- * what ran already. A maximum skew is left out, as it depends on the order in which VMs are placed;
- * so INFEASIBLE is certain, and FEASIBLE is a place for each that the order may still spoil.
+ * <p>Machines and running VMs are a snapshot from the creation of the problem, so that it may be
+ * solved on another thread. The search does no I/O and reads no clock.
+ *
+ * <p>Members are evaluated by their final placement. An affinity is satisfied by other members and
+ * by VMs that already run. A maximum skew is ignored, as it depends on the order in which VMs are
+ * placed. INFEASIBLE is therefore certain, whereas a FEASIBLE placement can still fail in an
+ * unfavorable order.
  */
 public final class GroupFeasibility {
   private final GroupProblem problem;
@@ -22,9 +25,9 @@
   }
 
   /**
-   * Searches for a placement of all members, and for an infeasible group for a smallest set of
+   * Searches for a placement of all members and, for an infeasible group, for a minimal set of
    * conflicting constraints. The search is bounded; {@code shouldStop} is polled and ends it with
-   * what is known by then.
+   * what is known so far.
    */
   public FeasibilityResult solve(BooleanSupplier shouldStop) {
     if (problem.machineCount() == 0) {
@@ -38,7 +41,7 @@
     if (result.verdict() != Verdict.INFEASIBLE) {
       return result;
     }
-    // A conflict that exists without capacity is reported as one of the constraints alone.
+    // If the constraints conflict even without capacity, only the constraints are reported.
     boolean isCapacityExceeded =
         new GroupModel(problem, constraints, false, shouldStop).solve().verdict()
             != Verdict.INFEASIBLE;
@@ -48,8 +51,8 @@
   }
 
   /**
-   * The smallest domains that a member must share with another member; empty if it need not share
-   * any.
+   * Returns the level of the smallest domain that affinities require a member to share with another
+   * member; empty if there is no such affinity.
    */
   Optional<TopologyLevel> requiredSharedLevel(GroupMember member) {
     Optional<TopologyLevel> smallest = Optional.empty();
@@ -74,7 +77,8 @@
   }
 
   /**
-   * How many machines are open to the member that has the fewest; 0 for a group without members.
+   * Returns the number of candidate machines of the member with the fewest; 0 for a group without
+   * members.
    */
   int minCandidateMachines() {
     MemberCandidates candidates =
@@ -86,7 +90,7 @@
     return minCandidates;
   }
 
-  /** The machine of a name that the solution gave. */
+  /** Returns the machine with a name that the solution contains. */
   MachineTopology machineByName(String name) {
     return problem.machineByName(name);
   }
--- a/src/main/java/fordridge/constraint/GroupMember.java
+++ b/src/main/java/fordridge/constraint/GroupMember.java
@@ -1,10 +1,10 @@
 package fordridge.constraint;
 
 /**
- * One VM of a group that is to run all at once.
+ * One VM of a group whose members are placed together.
  *
  * @param id unique within the group
- * @param vm what constraints select it by
+ * @param vm the attributes by which constraints select it
  * @param cores requested cores
  * @param memory requested memory, in the unit of {@link MachineCapacity}
  */
--- a/src/main/java/fordridge/constraint/GroupModel.java
+++ b/src/main/java/fordridge/constraint/GroupModel.java
@@ -22,17 +22,21 @@
 import org.chocosolver.solver.variables.IntVar;
 
 /**
- * One constraint model of a group for the Choco solver, under some of its constraints: a variable
- * for each member's machine, derived ones for its cell and zone. Solved at most once.
+ * Model of a group for the Choco solver, under some of its constraints. It has one variable for the
+ * machine of each member, and derived variables for the cell and the zone of that machine. An
+ * instance is solved at most once.
  */
 final class GroupModel {
-  /** Failures of the search before the answer is unknown: a bound independent of the clock. */
+  /**
+   * Maximum number of failures in the search before the result is unknown; a bound that does not
+   * depend on the clock.
+   */
   private static final int MAX_SEARCH_FAILURES = 20_000;
 
-  /** The solver counts in integers: cores and memory in thousandths of their unit. */
+  /** The solver uses integers: cores and memory are counted in thousandths of their unit. */
   private static final int CAPACITY_SCALE = 1000;
 
-  /** Larger capacities are cut to this, in the unit of the request. */
+  /** Larger capacities are reduced to this value, in the unit of the request. */
   private static final double MAX_CAPACITY = 1e6;
 
   private static final int MAX_SCALED_LOAD = Integer.MAX_VALUE / 4;
@@ -47,8 +51,8 @@
   /**
    * Builds the model.
    *
-   * @param constraints those that hold; the problem's others are left out
-   * @param withCapacity whether members must fit into the machines' capacity
+   * @param constraints the constraints to enforce; the problem's other constraints are ignored
+   * @param withCapacity whether the members must fit into the machines' capacity
    */
   GroupModel(
       GroupProblem problem,
@@ -92,7 +96,7 @@
     }
   }
 
-  /** The variable for a member's domain of a level. */
+  /** Returns the variable for the domain of a member at a level. */
   private IntVar domainOf(int member, TopologyLevel level) {
     if (level == TopologyLevel.MACHINE) {
       return machineOfMember[member];
@@ -130,7 +134,10 @@
     }
   }
 
-  /** Whether the first keeps apart from the second, and not the second from the first as well. */
+  /**
+   * Whether the anti-affinity applies from the first member to the second, but not from the second
+   * to the first.
+   */
   private boolean isOneWayAntiAffinity(Scope scope, Scope other, int first, int second) {
     boolean firstAvoidsSecond = problem.isCovered(first, scope) && problem.isCovered(second, other);
     boolean secondAvoidsFirst = problem.isCovered(second, scope) && problem.isCovered(first, other);
@@ -172,7 +179,7 @@
     }
   }
 
-  /** Bounds how many of the variables take each domain, by what each holds already. */
+  /** Limits how many of the variables take each domain, given the VMs that already run there. */
   private void postDomainCounts(
       IntVar[] variables, TopologyLevel level, int limit, Map<PlacementDomain, Integer> counts) {
     List<PlacementDomain> domains = problem.domains(level);
@@ -203,7 +210,10 @@
     }
   }
 
-  /** The ways in which a member can be near: one that runs already, or each other member. */
+  /**
+   * Returns the ways in which a member can satisfy an affinity: in a domain where a target already
+   * runs, or in the domain of another member that is a target.
+   */
   private List<Constraint> affinityAlternatives(
       int member, Affinity affinity, int[] targetDomainNumbers) {
     TopologyLevel level = affinity.level();
@@ -227,7 +237,10 @@
     }
   }
 
-  /** No machine takes more of a resource than it has; posted only where that could happen. */
+  /**
+   * Requires that no machine is assigned more of a resource than it has. The constraint is posted
+   * only if that could happen.
+   */
   private void postCapacity(IntToDoubleFunction requested, IntToDoubleFunction available) {
     int[] demands = new int[machineOfMember.length];
     long totalDemand = 0;
@@ -249,7 +262,10 @@
     }
   }
 
-  /** Searches for a placement; the reasons of an infeasible one are not looked for. */
+  /**
+   * Searches for a placement. For an infeasible model, the conflicting constraints are not
+   * determined.
+   */
   FeasibilityResult solve() {
     if (isTriviallyInfeasible) {
       return FeasibilityResult.infeasible(List.of(), false);
@@ -265,7 +281,10 @@
         : FeasibilityResult.infeasible(List.of(), false);
   }
 
-  /** Members without an affinity come first: the others look for them. */
+  /**
+   * Returns the solution with members without an affinity first, as members with one need targets
+   * that are already placed.
+   */
   private Map<String, String> solutionInPlacementOrder() {
     Map<String, String> machineByMember = new LinkedHashMap<>();
     for (boolean withAffinity : new boolean[] {false, true}) {
--- a/src/main/java/fordridge/constraint/GroupPlan.java
+++ b/src/main/java/fordridge/constraint/GroupPlan.java
@@ -10,23 +10,31 @@
 import java.util.stream.Collectors;
 
 /**
- * What is decided for a group before its first member is placed: that it can never be placed, or
- * where each member must keep to so that the last still finds its place. Immutable once computed;
- * free of I/O and clocks.
+ * Decisions about a group that are made before its first member is placed.
  *
- * <p>The scheduler still selects the machines. A member that must be near another, or that another
- * must be near, is bound to the domain that was found for it. Where few machines are open to some
- * member, each prefers the machine that was found for it, as a free choice could take the only
- * place of another.
+ * <p>Either the group can never be placed, or the plan restricts where each member may go, so that
+ * the last one still finds a machine. A plan is immutable; computing it does no I/O and reads no
+ * clock.
+ *
+ * <p>The scheduler still selects the machines. A member that has an affinity to another member, or
+ * is the target of one, is restricted to the domain that was found for it. If some member has few
+ * candidate machines, each member prefers the machine that was found for it, as a free choice could
+ * take the only candidate of another member.
  */
 public final class GroupPlan {
-  /** Penalty of a machine that was not found for a member; outweighs the tenants' preferences. */
+  /**
+   * Penalty of a machine other than the one found for a member; outweighs the preferences of
+   * tenants.
+   */
   private static final double UNPLANNED_MACHINE_PENALTY = 1e6;
 
-  /** Below this many open machines for each member of the group, members prefer what was found. */
+  /**
+   * Number of candidate machines per member of the group below which members prefer the machines
+   * found for them.
+   */
   private static final int AMPLE_CANDIDATES_PER_MEMBER = 4;
 
-  /** Longest time that computing one plan may take. */
+  /** Maximum time for computing one plan. */
   public static final Duration TIME_LIMIT = Duration.ofSeconds(1);
 
   private final List<String> placementOrder;
@@ -46,9 +54,10 @@
   }
 
   /**
-   * Computes a plan by the capacity that is free now, else by the machines' total capacity, as some
-   * may come free in time; only what not even empty machines could take is rejected. A group for
-   * which no answer was found in time is placed without a plan.
+   * Computes a plan with the capacity that is free now or, if that is not enough, with the total
+   * capacity of the machines, as capacity may become free in time. A group is rejected only if even
+   * empty machines cannot hold it. A group for which no result was found in time is placed without
+   * a plan.
    */
   public static GroupPlan compute(
       GroupFeasibility withFreeCapacity,
@@ -67,7 +76,7 @@
     };
   }
 
-  /** A plan that binds no member. */
+  /** Creates a plan that restricts no member. */
   public static GroupPlan unconstrained(List<String> placementOrder) {
     return new GroupPlan(List.copyOf(placementOrder), Optional.empty(), Map.of(), Map.of());
   }
@@ -96,7 +105,8 @@
         result.conflictingConstraints().stream()
             .map(constraint -> "rule '" + constraint.name() + "' (" + constraint.clause() + ")")
             .collect(Collectors.joining(" and "));
-    StringBuilder reason = new StringBuilder("no placing of all " + groupSize + " meets ");
+    StringBuilder reason =
+        new StringBuilder("no placement of all " + groupSize + " members is possible with ");
     reason.append(constraints);
     if (result.isCapacityExceeded()) {
       reason.append(constraints.isEmpty() ? "" : " and ").append("the size of the machines");
@@ -104,25 +114,30 @@
     return new GroupPlan(List.of(), Optional.of(reason.toString()), Map.of(), Map.of());
   }
 
-  /** Why the group can never be placed; empty where it may be. */
+  /** Returns why the group can never be placed; empty if it may be placed. */
   public Optional<String> rejectionReason() {
     return rejectionReason;
   }
 
-  /** The members' ids in the order in which they are best placed; empty for a rejected group. */
+  /**
+   * Returns the ids of the members in the order in which they should be placed; empty for a
+   * rejected group.
+   */
   public List<String> placementOrder() {
     return placementOrder;
   }
 
   /**
-   * Whether a member's place near others is decided here, so that it may be placed before they are
-   * there.
+   * Whether the plan fixes the domain of a member, so that it may be placed before the targets of
+   * its affinities.
    */
   public boolean hasFixedDomain(String memberId) {
     return fixedDomainByMember.containsKey(memberId);
   }
 
-  /** The penalty of a machine for a member; infinite where it must not go. */
+  /**
+   * Returns the penalty of a machine for a member; infinite if the member must not be placed there.
+   */
   public double placementPenalty(String memberId, MachineTopology machine) {
     PlacementDomain fixed = fixedDomainByMember.get(memberId);
     if (fixed != null && !PlacementDomain.of(machine, fixed.level()).equals(fixed)) {
--- a/src/main/java/fordridge/constraint/GroupProblem.java
+++ b/src/main/java/fordridge/constraint/GroupProblem.java
@@ -6,9 +6,10 @@
 import java.util.Map;
 
 /**
- * The question whether the members of a group can run all at once: machines, members and
- * constraints as they were when it was put. Immutable, and so safe to solve on another thread.
- * Machines, members and the domains of each level are numbered from 0.
+ * The problem of running all members of a group at the same time.
+ *
+ * <p>It is an immutable snapshot of machines, members and constraints, which is safe to solve on
+ * another thread. Machines, members and the domains of each level are numbered from 0.
  */
 final class GroupProblem {
   private final List<MachineTopology> machines;
@@ -21,11 +22,11 @@
       new EnumMap<>(TopologyLevel.class);
 
   /**
-   * A problem.
+   * Creates a problem.
    *
-   * @param capacities one for each machine, in the machines' order
-   * @param membersRepresentClasses whether each member stands for a class of VMs, which need not
-   *     keep apart from each other
+   * @param capacities the capacity of each machine, in the order of the machines
+   * @param membersRepresentClasses whether each member represents a class of VMs; an anti-affinity
+   *     then does not apply between two members that its scope and its other scope both cover
    */
   GroupProblem(
       List<MachineTopology> machines,
@@ -62,7 +63,7 @@
     return machines.get(number);
   }
 
-  /** The machine of a name that this problem's solution gave. */
+  /** Returns the machine with a name that a solution of this problem contains. */
   MachineTopology machineByName(String name) {
     return machines.stream()
         .filter(machine -> machine.name().equals(name))
@@ -98,17 +99,17 @@
     return scope.covers(members.get(member).vm());
   }
 
-  /** The domain's number of each machine; not to be changed. */
+  /** Returns the number of the domain of each machine; callers must not modify the array. */
   int[] domainByMachine(TopologyLevel level) {
     return domainByMachine.get(level);
   }
 
-  /** The domains of a level in the order of their numbers. */
+  /** Returns the domains of a level, ordered by their numbers. */
   List<PlacementDomain> domains(TopologyLevel level) {
     return domains.get(level);
   }
 
-  /** The domain that a machine belongs to. */
+  /** Returns the domain of a machine at a level. */
   PlacementDomain domainOf(int machine, TopologyLevel level) {
     return domains.get(level).get(domainByMachine.get(level)[machine]);
   }
--- a/src/main/java/fordridge/constraint/MachineCatalog.java
+++ b/src/main/java/fordridge/constraint/MachineCatalog.java
@@ -12,11 +12,13 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * The machines that were ever listed, each under a dense number that it keeps, with their domains
- * and label matches as bitmaps of these numbers. Bitmaps that are handed out must not be changed.
+ * All machines that were ever listed, with their domains and label matches.
+ *
+ * <p>Each machine has a dense number that it keeps; sets of machines are bitmaps of these numbers.
+ * Callers must not modify returned bitmaps, unless they are documented as new.
  */
 final class MachineCatalog {
-  /** The number of a machine that was never listed. */
+  /** Stands for a machine that was never listed. */
   static final int UNKNOWN_MACHINE = -1;
 
   private static final RoaringBitmap NO_MACHINES = new RoaringBitmap();
@@ -33,7 +35,7 @@
 
   MachineCatalog() {}
 
-  /** A copy that changes independently. */
+  /** Creates an independent copy. */
   MachineCatalog(MachineCatalog other) {
     numberByName.putAll(other.numberByName);
     machines.addAll(other.machines);
@@ -42,7 +44,9 @@
     indexDomains();
   }
 
-  /** Replaces the machines that are listed; those that left keep their number and last labels. */
+  /**
+   * Replaces the listed machines; machines that left the list keep their number and last labels.
+   */
   void replaceListed(Collection<MachineTopology> nowListed) {
     listed.clear();
     for (MachineTopology machine : nowListed) {
@@ -88,12 +92,12 @@
     version++;
   }
 
-  /** Increases with every change. */
+  /** A number that increases with every change. */
   long version() {
     return version;
   }
 
-  /** The machine's number, or {@link #UNKNOWN_MACHINE}. */
+  /** Returns the number of the machine, or {@link #UNKNOWN_MACHINE}. */
   int numberOf(String name) {
     return numberByName.getOrDefault(name, UNKNOWN_MACHINE);
   }
@@ -114,7 +118,7 @@
     return listed;
   }
 
-  /** A new bitmap of the machines that are listed and not draining. */
+  /** Returns a new bitmap of the machines that are listed and not draining. */
   RoaringBitmap schedulableMachines() {
     return RoaringBitmap.andNot(listed, draining);
   }
@@ -123,17 +127,19 @@
     return domainsByMachine.get(number).get(level);
   }
 
-  /** All machines of a domain, also those that left the list. */
+  /** Returns all machines of a domain, including those that left the list. */
   RoaringBitmap machinesIn(PlacementDomain domain) {
     return machinesByDomainOf(domain.level()).getOrDefault(domain, NO_MACHINES);
   }
 
-  /** All domains of a level with their machines. */
+  /** Returns all domains of a level with their machines. */
   Map<PlacementDomain, RoaringBitmap> machinesByDomainOf(TopologyLevel level) {
     return machinesByDomain.getOrDefault(level, Map.of());
   }
 
-  /** All machines whose labels meet the predicate, also those that left the list. */
+  /**
+   * Returns all machines whose labels satisfy the predicate, including those that left the list.
+   */
   RoaringBitmap machinesMatching(LabelPredicate predicate) {
     return machinesByPredicate.computeIfAbsent(predicate, this::findMatching);
   }
--- a/src/main/java/fordridge/constraint/MemberCandidates.java
+++ b/src/main/java/fordridge/constraint/MemberCandidates.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Finds the machines that are open to a member of a group whatever the other members do: by its
- * size, by labels, and by what runs already.
+ * Finds the candidate machines of a group member, regardless of where the other members go: those
+ * with enough capacity that labels and the VMs that already run allow.
  */
 final class MemberCandidates {
   private final GroupProblem problem;
@@ -23,7 +23,7 @@
     this.withCapacity = withCapacity;
   }
 
-  /** The numbers of the machines in ascending order; empty if there is none. */
+  /** Returns the numbers of the candidate machines in ascending order; empty if there are none. */
   int[] find(int member) {
     BitSet candidates = new BitSet();
     candidates.set(0, problem.machineCount());
--- a/src/main/java/fordridge/constraint/PlacementAuditor.java
+++ b/src/main/java/fordridge/constraint/PlacementAuditor.java
@@ -9,9 +9,10 @@
 import java.util.OptionalInt;
 
 /**
- * Looks over what runs for VMs that stand against the constraints. Each VM is judged as if it alone
- * were not there. The cost grows with what runs: meant for operators and new sets, not for
- * placements.
+ * Finds running VMs whose placement violates constraints or could be improved.
+ *
+ * <p>Each VM is evaluated as if it alone were not running. The cost grows with the number of
+ * running VMs, so audits serve operators and checks of new constraint sets, not placements.
  */
 final class PlacementAuditor {
   private final MachineCatalog catalog;
@@ -30,7 +31,10 @@
     this.explainer = explainer;
   }
 
-  /** Attempts where a required constraint, or the machine's absence, speaks against their place. */
+  /**
+   * Returns the attempts whose machine is forbidden by a required constraint or is no longer
+   * listed, each with the reasons.
+   */
   Map<Object, List<RejectionReason>> findViolatingPlacements() {
     Map<Object, List<RejectionReason>> violating = new LinkedHashMap<>();
     tracker
@@ -46,7 +50,7 @@
     return violating;
   }
 
-  /** What runs on a draining machine may stay there, and preferences do not bind. */
+  /** A VM may stay on a draining machine, and preferences are not binding. */
   private boolean isNotViolation(RejectionReason reason, int machine) {
     return reason.constraint().isEmpty()
         ? catalog.isDraining(machine)
@@ -54,7 +58,8 @@
   }
 
   /**
-   * At most so many attempts that another open machine would suit better, with one such machine.
+   * Returns at most {@code limit} attempts for which another allowed machine satisfies the
+   * preferences better, each with one such machine.
    */
   Map<Object, List<RejectionReason>> findImprovablePlacements(int limit) {
     Map<Object, List<RejectionReason>> improvable = new LinkedHashMap<>();
@@ -81,7 +86,9 @@
     reasons.add(
         RejectionReason.withoutConstraint(
             Cause.BETTER_MACHINE_AVAILABLE,
-            "machine " + catalog.machine(better.getAsInt()).name() + " would do better"));
+            "machine "
+                + catalog.machine(better.getAsInt()).name()
+                + " has a lower preference penalty"));
     improvable.put(attempt, reasons);
   }
 
--- a/src/main/java/fordridge/constraint/PlacementConstraint.java
+++ b/src/main/java/fordridge/constraint/PlacementConstraint.java
@@ -6,14 +6,15 @@
 import java.util.stream.Collectors;
 
 /**
- * One sentence of the constraint language: which VMs it speaks of, how binding it is, and what it
- * asks of the machines they go to. Its text form parses back to an equal constraint.
+ * One constraint of a constraint set: which VMs it applies to, whether it is required or preferred,
+ * and what it demands of their machines. Its text form parses back to an equal constraint, except
+ * for the line number.
  *
  * @param name unique within its set
- * @param scope the VMs that it speaks of
- * @param weight 0 for a required constraint, else the weight of the preference
- * @param clause what is asked of the machines
- * @param line the line of the set's text that it begins in, from 1
+ * @param scope the VMs that it applies to
+ * @param weight 0 for a required constraint, otherwise the weight of the preference
+ * @param clause what is demanded of the machines
+ * @param line the line of its name in the text of the set, from 1
  */
 public record PlacementConstraint(
     String name, Scope scope, double weight, Clause clause, int line) {
@@ -48,12 +49,14 @@
           "cell",
           "zone");
 
-  /** Whether no VM may be placed against it; otherwise it is a preference with a weight. */
+  /** Whether no VM may violate the constraint; otherwise it is a preference with a weight. */
   public boolean isRequired() {
     return weight == 0;
   }
 
-  /** VMs by tenant, priority class and service number; an empty set of values selects any. */
+  /**
+   * Selects VMs by tenant, priority class and service number; an empty set of values selects any.
+   */
   public record Scope(Set<String> tenants, Set<String> priorityClasses, Set<String> services) {
     /** Selects every VM. */
     public static final Scope ALL = new Scope(Set.of(), Set.of(), Set.of());
@@ -85,11 +88,14 @@
     }
   }
 
-  /** What a constraint asks of the machines that the VMs of its scope go to. */
+  /** What a constraint demands of the machines on which the VMs of its scope are placed. */
   public sealed interface Clause
       permits Affinity, AntiAffinity, SpreadLimit, SpreadSkew, MachineLabels {}
 
-  /** Keyword near: in a domain that holds one of the others; anywhere while there is none. */
+  /**
+   * Keyword {@code near}: a domain that holds a VM of the other scope, or any domain while no such
+   * VM runs.
+   */
   public record Affinity(Scope other, TopologyLevel level) implements Clause {
     @Override
     public String toString() {
@@ -98,8 +104,8 @@
   }
 
   /**
-   * Keyword apart: in no domain that holds one of the others, and the others in none that holds one
-   * of the scope's VMs.
+   * Keyword {@code apart}: no domain that holds a VM of the other scope; conversely, VMs of the
+   * other scope may not go to a domain that holds a VM of the constraint's scope.
    */
   public record AntiAffinity(Scope other, TopologyLevel level) implements Clause {
     @Override
@@ -109,12 +115,12 @@
   }
 
   /**
-   * Keywords spread at most: no domain holds more than the limit.
+   * Keywords {@code spread at most}: no domain holds more VMs than the limit.
    *
-   * @param limit most VMs in one domain
-   * @param perService whether each service is counted by itself
-   * @param level the domains that are counted
-   * @param clusterWide whether the limit is meant over the VMs of all schedulers
+   * @param limit the maximum number of VMs in one domain
+   * @param perService whether each service is counted separately
+   * @param level the level of the domains
+   * @param clusterWide whether the limit applies to the VMs of all schedulers together
    */
   public record SpreadLimit(int limit, boolean perService, TopologyLevel level, boolean clusterWide)
       implements Clause {
@@ -128,15 +134,19 @@
           + (clusterWide ? " overall" : "");
     }
 
-    /** The limit for one of several schedulers that do not coordinate; at least 1. */
+    /**
+     * Returns the limit that one of several schedulers enforces, as they do not coordinate; at
+     * least 1.
+     */
     int limitPerScheduler(int schedulerCount) {
       return clusterWide ? Math.max(1, limit / schedulerCount) : limit;
     }
   }
 
   /**
-   * Keywords spread within: with the VM placed, its domain holds at most so many more than the
-   * domain with fewest that the VM could go to.
+   * Keywords {@code spread within}: including the VM to place, its domain holds at most {@code
+   * maxSkew} VMs more than the domain with the fewest VMs among those that the preceding
+   * constraints allow for the VM.
    */
   public record SpreadSkew(int maxSkew, boolean perService, TopologyLevel level) implements Clause {
     @Override
@@ -145,7 +155,7 @@
     }
   }
 
-  /** Keyword on: only machines whose labels meet the predicate. */
+  /** Keyword {@code on}: only machines whose labels satisfy the predicate. */
   public record MachineLabels(LabelPredicate predicate) implements Clause {
     @Override
     public String toString() {
@@ -153,7 +163,7 @@
     }
   }
 
-  /** The labels of a machine. */
+  /** A label of a machine. */
   public enum LabelKey {
     /** Its hardware kind. */
     KIND,
@@ -164,7 +174,7 @@
     /** Its name. */
     MACHINE;
 
-    /** The machine's value of this label. */
+    /** Returns the value of this label on a machine. */
     public String valueOf(MachineTopology machine) {
       return switch (this) {
         case KIND -> machine.kind();
@@ -183,11 +193,11 @@
 
   /** A condition on a machine's labels. */
   public sealed interface LabelPredicate permits Label, Not, And, Or {
-    /** Whether the machine's labels meet it. */
+    /** Whether the labels of the machine satisfy the predicate. */
     boolean matches(MachineTopology machine);
   }
 
-  /** The label has one of the values. */
+  /** Satisfied if the label has one of the values. */
   public record Label(LabelKey key, Set<String> values) implements LabelPredicate {
     @Override
     public boolean matches(MachineTopology machine) {
@@ -200,7 +210,7 @@
     }
   }
 
-  /** The predicate is not met. */
+  /** Satisfied if the predicate is not. */
   public record Not(LabelPredicate negated) implements LabelPredicate {
     @Override
     public boolean matches(MachineTopology machine) {
@@ -213,7 +223,7 @@
     }
   }
 
-  /** Both predicates are met. */
+  /** Satisfied if both predicates are. */
   public record And(LabelPredicate left, LabelPredicate right) implements LabelPredicate {
     @Override
     public boolean matches(MachineTopology machine) {
@@ -226,7 +236,7 @@
     }
   }
 
-  /** At least one of the predicates is met. */
+  /** Satisfied if at least one of the predicates is. */
   public record Or(LabelPredicate left, LabelPredicate right) implements LabelPredicate {
     @Override
     public boolean matches(MachineTopology machine) {
@@ -239,7 +249,7 @@
     }
   }
 
-  /** The constraint as the language writes it. */
+  /** The constraint in the syntax of the constraint language. */
   @Override
   public String toString() {
     return "rule "
--- a/src/main/java/fordridge/constraint/PlacementCounters.java
+++ b/src/main/java/fordridge/constraint/PlacementCounters.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * All counters that a constraint set needs. Which counters a VM counts in is found once for each
- * combination of tenant, class and service.
+ * All counters that a constraint set needs. Which counters count a VM is determined once for each
+ * combination of tenant, priority class and service.
  */
 final class PlacementCounters {
   private record VmCounters(List<DomainCounter> all, List<DomainCounter> confirmedOnly) {}
@@ -25,19 +25,22 @@
     this.catalog = catalog;
   }
 
-  /** Forgets all counts. */
+  /** Drops all counts. */
   void clear() {
     counters.clear();
     countersByVm.clear();
     version++;
   }
 
-  /** Adds VMs to, or takes them out of, the counters that count every attempt. */
+  /** Adds VMs to the counters of all attempts; a negative {@code delta} removes them. */
   void add(VmAttributes vm, int machine, int delta) {
     addTo(countersOf(vm).all, machine, delta);
   }
 
-  /** Adds VMs to, or takes them out of, the counters that leave out unknown outcomes. */
+  /**
+   * Adds VMs to the counters that exclude attempts of unknown outcome; a negative {@code delta}
+   * removes them.
+   */
   void addConfirmed(VmAttributes vm, int machine, int delta) {
     addTo(countersOf(vm).confirmedOnly, machine, delta);
   }
@@ -47,7 +50,7 @@
     version++;
   }
 
-  /** Increases with every change. */
+  /** A number that increases with every change. */
   long version() {
     return version;
   }
@@ -57,8 +60,8 @@
   }
 
   /**
-   * The VMs that an affinity draws to: those that run or were just sent; attempts of unknown
-   * outcome only while there are none of these.
+   * Returns the counter of the targets of an affinity: VMs that run or whose attempt was sent and
+   * is still awaited. Attempts of unknown outcome are targets only while there are no such VMs.
    */
   DomainCounter affinityCounter(PlacementConstraint.Affinity affinity) {
     DomainCounter confirmed = counter(CounterKey.confirmedOnly(affinity.other(), affinity.level()));
--- a/src/main/java/fordridge/constraint/PlacementDomain.java
+++ b/src/main/java/fordridge/constraint/PlacementDomain.java
@@ -1,14 +1,14 @@
 package fordridge.constraint;
 
 /**
- * One domain of the topology: a machine, a cell of a zone, or a zone. Domains of different levels
- * are never equal.
+ * A domain in which VMs are counted: a machine, a cell of a zone, or a zone. Domains of different
+ * levels are never equal.
  *
- * @param level what kind of domain it is
- * @param name unique among the domains of its level, as operators read it
+ * @param level the level of the domain
+ * @param name unique among the domains of its level; shown to operators
  */
 record PlacementDomain(TopologyLevel level, String name) {
-  /** The domain of a level that the machine belongs to. */
+  /** Returns the domain of a machine at a level. */
   static PlacementDomain of(MachineTopology machine, TopologyLevel level) {
     return switch (level) {
       case MACHINE -> new PlacementDomain(level, machine.name());
--- a/src/main/java/fordridge/constraint/PlacementTracker.java
+++ b/src/main/java/fordridge/constraint/PlacementTracker.java
@@ -4,11 +4,19 @@
 import java.util.Map;
 
 /**
- * The attempts that hold a place: from the instant they are sent until their VM is known not to be
- * there. Keeps the counters in step.
+ * Tracks attempts and keeps the placement counters up to date.
+ *
+ * <p>An attempt is tracked from the time it is sent until its VM is known not to run on the
+ * machine.
  */
 final class PlacementTracker {
-  /** One attempt, the machine's number, and whether nobody knows if its VM runs. */
+  /**
+   * A tracked attempt.
+   *
+   * @param vm the attributes of its VM
+   * @param machine the number of its machine in the catalog
+   * @param isOutcomeUnknown whether it is unknown if the VM runs
+   */
   record TrackedAttempt(VmAttributes vm, int machine, boolean isOutcomeUnknown) {}
 
   private final PlacementCounters counters;
@@ -18,20 +26,20 @@
     this.counters = counters;
   }
 
-  /** Takes over the attempts of another tracker, and counts them. */
+  /** Copies the attempts of another tracker and counts them. */
   PlacementTracker(PlacementCounters counters, PlacementTracker other) {
     this(counters);
     attempts.putAll(other.attempts);
     recount();
   }
 
-  /** Counts all anew, after machines changed their labels. */
+  /** Rebuilds all counts; required after the labels of machines changed. */
   void recount() {
     counters.clear();
     attempts.values().forEach(attempt -> count(attempt, 1));
   }
 
-  /** An attempt that is tracked already keeps its place. */
+  /** Tracks and counts an attempt; has no effect if it is tracked already. */
   void add(Object attempt, VmAttributes vm, int machine) {
     TrackedAttempt added = new TrackedAttempt(vm, machine, false);
     if (attempts.putIfAbsent(attempt, added) == null) {
@@ -54,7 +62,10 @@
     }
   }
 
-  /** Runs an action while one attempt is left out of the counts; it must not change attempts. */
+  /**
+   * Runs an action while one attempt is excluded from the counts. The action must not add, change
+   * or remove attempts.
+   */
   void runWithout(Object attempt, Runnable action) {
     TrackedAttempt excluded = attempts.get(attempt);
     if (excluded == null) {
@@ -76,7 +87,7 @@
     }
   }
 
-  /** All attempts, in the order in which they were sent; not to be changed. */
+  /** Returns all attempts in the order in which they were sent; callers must not modify the map. */
   Map<Object, TrackedAttempt> attempts() {
     return attempts;
   }
--- a/src/main/java/fordridge/constraint/RejectionExplainer.java
+++ b/src/main/java/fordridge/constraint/RejectionExplainer.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Explains to operators what speaks against placing a VM on a machine. */
+/** Explains to operators why a VM cannot, or preferably should not, be placed on a machine. */
 final class RejectionExplainer {
   private final MachineCatalog catalog;
   private final PlacementCounters counters;
@@ -22,20 +22,25 @@
     this.constraintCache = constraintCache;
   }
 
-  /** Every reason, in the order of the set; each constraint is judged by itself. */
+  /**
+   * Returns every reason: first those that concern the machine, then violations of the VM's own
+   * constraints, then of reverse anti-affinities, each in the order of the set. Each constraint is
+   * evaluated on its own.
+   */
   List<RejectionReason> explain(VmAttributes vm, String machineName) {
     int machine = catalog.numberOf(machineName);
     List<RejectionReason> reasons = new ArrayList<>();
     if (!catalog.isListed(machine)) {
       reasons.add(
           RejectionReason.withoutConstraint(
-              Cause.MACHINE_NOT_LISTED, "no machine '" + machineName + "' in the list"));
+              Cause.MACHINE_NOT_LISTED,
+              "machine '" + machineName + "' is not in the machine list"));
       return reasons;
     }
     if (catalog.isDraining(machine)) {
       reasons.add(
           RejectionReason.withoutConstraint(
-              Cause.MACHINE_DRAINING, "it drains: nothing new goes there"));
+              Cause.MACHINE_DRAINING, "the machine is draining and accepts no new VMs"));
     }
     ApplicableConstraints applicable = constraintCache.applicableConstraints(vm);
     addOwnViolations(applicable.own(), vm, machine, reasons);
@@ -72,11 +77,11 @@
         reasons.add(
             RejectionReason.violated(
                 constraint,
-                "required of others: "
+                "required by other VMs: "
                     + constraint.scope()
-                    + " keeps apart from these, and "
+                    + " must be apart from this VM, and "
                     + counter.count(domain)
-                    + " of it run in "
+                    + " of them run in "
                     + key.level()
                     + " "
                     + domain));
@@ -84,12 +89,15 @@
     }
   }
 
-  /** The count that the constraint judged by, or the machine's labels. */
+  /**
+   * Returns the count that the constraint was evaluated against or, for a label constraint, the
+   * labels of the machine.
+   */
   private String countOrLabels(PlacementConstraint constraint, VmAttributes vm, int machine) {
     List<CounterKey> keys = CounterKey.keysOf(constraint, vm.service());
     if (keys.isEmpty()) {
       MachineTopology topology = catalog.machine(machine);
-      return " (it is kind "
+      return " (the machine has kind "
           + topology.kind()
           + ", zone "
           + topology.zone()
--- a/src/main/java/fordridge/constraint/RejectionReason.java
+++ b/src/main/java/fordridge/constraint/RejectionReason.java
@@ -3,25 +3,28 @@
 import java.util.Optional;
 
 /**
- * One reason that speaks against placing a VM on a machine.
+ * One reason against placing a VM on a machine.
  *
- * @param cause what kind of reason it is
- * @param constraint the constraint that is violated; empty for causes that concern no constraint
- * @param description the reason in words for operators, without the constraint's name
+ * @param cause the kind of reason
+ * @param constraint the violated constraint; empty for causes that involve no constraint
+ * @param description the reason as text for operators, without the name of the constraint
  */
 public record RejectionReason(
     Cause cause, Optional<PlacementConstraint> constraint, String description) {
-  /** The kinds of reasons. */
+  /** The kind of a reason. */
   public enum Cause {
-    /** The machine list has no such machine. */
+    /** The machine list does not contain the machine. */
     MACHINE_NOT_LISTED,
-    /** The machine is draining and takes nothing new. */
+    /** The machine is draining and accepts no new VMs. */
     MACHINE_DRAINING,
-    /** A required constraint on the VM itself, or one that keeps other VMs apart from it. */
+    /**
+     * A required constraint of the VM, or a required anti-affinity of other VMs to it, forbids the
+     * machine.
+     */
     REQUIRED_CONSTRAINT,
-    /** A preference of the VM is not met there. */
+    /** The machine does not satisfy a preference of the VM. */
     PREFERENCE,
-    /** Another machine that is open to the VM meets its preferences better. */
+    /** Another machine that is allowed for the VM satisfies its preferences better. */
     BETTER_MACHINE_AVAILABLE
   }
 
@@ -34,7 +37,7 @@
     return new RejectionReason(cause, Optional.empty(), description);
   }
 
-  /** The reason for operators: the constraint's name, where there is one, and the description. */
+  /** Text for operators: the name of the constraint, if there is one, and the description. */
   @Override
   public String toString() {
     return constraint.map(violated -> "rule '" + violated.name() + "' ").orElse("") + description;
--- a/src/main/java/fordridge/constraint/SourceText.java
+++ b/src/main/java/fordridge/constraint/SourceText.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** The text of a constraint set by lines, for locating problems in it. */
+/** The text of a constraint set by lines, used to locate problems. */
 final class SourceText {
   private static final int MAX_EXCERPT_CHARACTERS = 80;
 
@@ -13,17 +13,17 @@
   }
 
   /**
-   * A problem at a place as the lexer counts it.
+   * Creates a problem at a position as reported by the lexer.
    *
-   * @param line from 1
-   * @param zeroBasedColumn from 0
+   * @param line line number, from 1
+   * @param zeroBasedColumn column number, from 0
    */
   ConstraintSyntaxException.Problem problemAt(int line, int zeroBasedColumn, String description) {
     return new ConstraintSyntaxException.Problem(
         line, zeroBasedColumn + 1, Optional.of(excerpt(line)), description);
   }
 
-  /** A problem of the text as a whole, placed at its beginning. */
+  /** Creates a problem of the text as a whole, located at its beginning. */
   static ConstraintSyntaxException.Problem problemOfWholeText(String description) {
     return new ConstraintSyntaxException.Problem(1, 1, Optional.empty(), description);
   }
--- a/src/main/java/fordridge/constraint/TopologyLevel.java
+++ b/src/main/java/fordridge/constraint/TopologyLevel.java
@@ -2,9 +2,9 @@
 
 import java.util.Locale;
 
-/** The levels of the topology at which VMs are counted, from the smallest domain to the largest. */
+/** A level of the topology at which VMs are counted, from the smallest domain to the largest. */
 public enum TopologyLevel {
-  /** Each machine by itself. */
+  /** Each machine separately. */
   MACHINE,
   /** All machines of one cell of one zone. */
   CELL,
--- a/src/main/java/fordridge/constraint/UnsatisfiableConstraintsException.java
+++ b/src/main/java/fordridge/constraint/UnsatisfiableConstraintsException.java
@@ -1,6 +1,9 @@
 package fordridge.constraint;
 
-/** A constraint set promises a limit that this number of schedulers cannot keep. */
+/**
+ * Thrown for a constraint set with a cluster-wide limit that is too small to be divided among the
+ * schedulers.
+ */
 public final class UnsatisfiableConstraintsException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/fordridge/constraint/VmAttributes.java
+++ b/src/main/java/fordridge/constraint/VmAttributes.java
@@ -1,4 +1,7 @@
 package fordridge.constraint;
 
-/** What constraints can select a VM by: its tenant, its priority class and its service's number. */
+/**
+ * The attributes by which constraints select a VM: its tenant, its priority class and the number of
+ * its service.
+ */
 public record VmAttributes(String tenant, String priorityClass, long service) {}
--- a/src/main/java/fordridge/constraint/VmConstraintCache.java
+++ b/src/main/java/fordridge/constraint/VmConstraintCache.java
@@ -7,15 +7,17 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Answers which machines are open to a VM, from bitmaps that are computed at the first question
- * after a change and kept until the next one. A question about a further machine costs a map and a
- * bitmap look-up.
+ * Computes which machines the constraints allow for a VM, and caches the result by VM attributes.
+ *
+ * <p>A result is a bitmap that is computed on the first query after a change of machines or counts,
+ * and is valid until the next change. A query for another machine then costs one map look-up and
+ * one bitmap look-up.
  */
 final class VmConstraintCache {
-  /** A preference and the machines that meet it. */
+  /** A preference and the machines that satisfy it. */
   private record Preference(double weight, RoaringBitmap satisfyingMachines) {}
 
-  /** What is known about the VMs with the same attributes, each part with the version it is of. */
+  /** Results for VMs with equal attributes, each with the version for which it was computed. */
   private static final class CachedResults {
     final ApplicableConstraints constraints;
     RoaringBitmap allowed;
@@ -49,7 +51,7 @@
     this.evaluator = evaluator;
   }
 
-  /** Forgets what is known of all VMs, to bound the memory that it takes. */
+  /** Drops all cached results, which bounds the memory that the cache takes. */
   void clear() {
     cache.clear();
   }
@@ -58,7 +60,9 @@
     return cached(vm).constraints;
   }
 
-  /** Machines that all required constraints leave open; not to be changed. */
+  /**
+   * Returns the machines that all required constraints allow; callers must not modify the bitmap.
+   */
   RoaringBitmap allowedMachines(VmAttributes vm) {
     CachedResults cached = cached(vm);
     long version = version();
@@ -69,7 +73,10 @@
     return cached.allowed;
   }
 
-  /** Machines that all required constraints but affinities leave open; not to be changed. */
+  /**
+   * Returns the machines that all required constraints other than affinities allow; callers must
+   * not modify the bitmap.
+   */
   RoaringBitmap allowedMachinesIgnoringAffinity(VmAttributes vm) {
     CachedResults cached = cached(vm);
     long version = version();
@@ -80,7 +87,7 @@
     return cached.allowedIgnoringAffinity;
   }
 
-  /** The summed weight of the preferences that the machine does not meet. */
+  /** Returns the total weight of the preferences that the machine does not satisfy. */
   double preferencePenalty(VmAttributes vm, int machine) {
     CachedResults cached = cached(vm);
     long version = version();
@@ -103,7 +110,10 @@
         vm, key -> new CachedResults(ApplicableConstraints.select(constraints, key)));
   }
 
-  /** Both parts only increase, so the sum is the same only while neither changes. */
+  /**
+   * Version of the machines and the counts. Both parts only increase, so the sum is unchanged only
+   * while neither changes.
+   */
   private long version() {
     return catalog.version() + counters.version();
   }
--- a/src/test/java/fordridge/constraint/ConstraintFixtures.java
+++ b/src/test/java/fordridge/constraint/ConstraintFixtures.java
@@ -26,7 +26,7 @@
     return ConstraintParser.parse(text, ConstraintParser.KnownNames.UNCHECKED);
   }
 
-  /** The index of one scheduler that is alone. */
+  /** Creates the index of a scheduler that does not share limits with others. */
   static ConstraintIndex indexOf(List<PlacementConstraint> constraints, List<MachineTopology> fleet)
       throws UnsatisfiableConstraintsException {
     ConstraintIndex index = new ConstraintIndex(constraints, 1);
@@ -38,7 +38,7 @@
     return indexOf(parse(text), FLEET);
   }
 
-  /** A VM of no tenant. */
+  /** Creates attributes of a VM without a tenant. */
   static VmAttributes vm(String priorityClass, long service) {
     return new VmAttributes("", priorityClass, service);
   }
@@ -52,7 +52,7 @@
     return fleet;
   }
 
-  /** The text of a set of 1 to 5 required constraints, without maximum skews. */
+  /** Returns the text of a set of 1 to 5 required constraints, without maximum skews. */
   static String randomRequiredSet(Random random) {
     StringBuilder text = new StringBuilder();
     int size = 1 + random.nextInt(5);
@@ -86,7 +86,7 @@
     };
   }
 
-  /** 1 to 5 constraints of every clause, required and preferred. */
+  /** Returns 1 to 5 constraints with any kind of clause, required and preferred. */
   static List<PlacementConstraint> randomConstraints(Random random) {
     return randomConstraints(random, 1 + random.nextInt(5));
   }
--- a/src/test/java/fordridge/constraint/ConstraintIndexTest.java
+++ b/src/test/java/fordridge/constraint/ConstraintIndexTest.java
@@ -42,7 +42,9 @@
             """
             rule n: flavour w require near flavour a per zone;
             rule p: flavour w require apart flavour b per zone;""");
-    assertThat(allowedMachines(index, "w", 1)).as("near nothing yet: anywhere").hasSize(5);
+    assertThat(allowedMachines(index, "w", 1))
+        .as("any machine while no affinity target runs")
+        .hasSize(5);
     index.attemptSent(1, vm("a", 1), "a");
     assertThat(allowedMachines(index, "w", 1)).containsExactly("a", "b");
     index.attemptSent(2, vm("b", 1), "b");
@@ -68,7 +70,7 @@
     assertThat(allowedMachines(index, "b", 1)).containsExactly("e");
     index.attemptEnded(2);
     assertThat(allowedMachines(index, "w", 1))
-        .as("better where one may run than where none does")
+        .as("attempts of unknown outcome are targets if there are no others")
         .containsExactly("a", "b");
     index.attemptOutcomeUnknown(1);
     index.attemptEnded(1);
@@ -84,7 +86,7 @@
             rule m: flavour w require spread at most 1 of each service per zone;
             rule n: flavour v require near flavour w per zone;""");
     index.attemptSent(1, vm("w", 5), "a");
-    assertThat(allowedMachines(index, "w", 0)).as("another service is no bar").hasSize(5);
+    assertThat(allowedMachines(index, "w", 0)).as("VMs of another service do not count").hasSize(5);
     index.attemptSent(2, vm("w", 0), "c");
     assertThat(allowedMachines(index, "w", 0)).containsExactly("a", "b", "e");
   }
@@ -95,7 +97,7 @@
     index.attemptSent(1, vm("w", 1), "a");
     assertThat(allowedMachines(index, "b", 1)).doesNotContain("a").hasSize(4);
     assertThat(index.explainRejection(vm("b", 1), "a").get(0).description())
-        .contains("keeps apart");
+        .contains("must be apart from this VM");
   }
 
   @Example
@@ -109,22 +111,22 @@
     index.drainingMachinesChanged(Set.of("e"));
     index.attemptSent(4, vm("w", 7), "b");
     assertThat(allowedMachines(index, "w", 7))
-        .as("zone z holds one and takes no more: zone y is next")
+        .as("draining zone z is not counted as the emptiest zone: zone y is next")
         .containsExactly("c", "d");
     index.attemptSent(5, vm("w", 7), "d");
     assertThat(allowedMachines(index, "w", 7))
-        .as("the zone that drains keeps nobody waiting")
+        .as("draining zone z does not limit the other zones")
         .containsExactly("a", "b", "c", "d");
     assertThat(index.explainRejection(vm("w", 7), "e"))
         .extracting(RejectionReason::description)
-        .anyMatch(description -> description.contains("drains"));
+        .anyMatch(description -> description.contains("is draining"));
     assertThat(index.findViolatingPlacements()).isEmpty();
     for (int attempt = 3; attempt <= 5; attempt++) {
       index.attemptEnded(attempt);
     }
     index.machineListReceived(FLEET.subList(0, 4));
-    // Zone z left the list: the fewest among what is left counts, else nothing could be placed any
-    // more.
+    // Zone z left the list. If it still counted as the zone with the fewest VMs, no VM could be
+    // placed.
     assertThat(allowedMachines(index, "w", 7)).containsExactly("a", "b", "c", "d");
   }
 
@@ -154,7 +156,7 @@
     relabelled.set(0, new MachineTopology("a", "big", "y", 1));
     index.machineListReceived(relabelled);
     assertThat(namesOf(index.findViolatingPlacements().get(1))).containsExactly("k");
-    assertThat(index.isAllowed(vm("w", 2), "c")).as("its zone is y now").isFalse();
+    assertThat(index.isAllowed(vm("w", 2), "c")).as("machine a counts in its new zone y").isFalse();
   }
 
   @Example
@@ -173,7 +175,7 @@
         .extracting(RejectionReason::cause)
         .containsExactly(RejectionReason.Cause.MACHINE_NOT_LISTED);
     assertThat(reasons.get(0).constraint()).isEmpty();
-    assertThat(reasons.get(0)).hasToString("no machine 'e' in the list");
+    assertThat(reasons.get(0)).hasToString("machine 'e' is not in the machine list");
   }
 
   @Example
@@ -190,7 +192,7 @@
     newIndex.attemptEnded(1);
     newIndex.attemptEnded(2);
     assertThat(newIndex.isAllowed(vm("w", 1), "a")).isTrue();
-    assertThat(index.attemptCount()).as("the two share nothing").isEqualTo(2);
+    assertThat(index.attemptCount()).as("the old index is unchanged").isEqualTo(2);
   }
 
   @Example
@@ -238,7 +240,7 @@
         }
       }
     }
-    assertThat(placed).as("over all schedulers").isEqualTo(3);
+    assertThat(placed).as("total of all schedulers").isEqualTo(3);
   }
 
   @Example
@@ -251,13 +253,13 @@
     index.attemptSent(1, vm("w", 1), "a");
     index.attemptSent(2, vm("w", 1), "b");
     index.attemptSent(3, vm("w", 1), "c");
-    assertThat(index.findImprovablePlacements(9)).as("nothing better is open").isEmpty();
+    assertThat(index.findImprovablePlacements(9)).as("no better machine is allowed").isEmpty();
     index.attemptEnded(1);
     assertThat(index.findImprovablePlacements(9).get(3))
         .extracting(RejectionReason::description)
-        .anyMatch(description -> description.contains("machine a would do better"));
+        .anyMatch(description -> description.contains("machine a has a lower preference penalty"));
     assertThat(index.findImprovablePlacements(0)).isEmpty();
-    assertThat(index.isAllowed(vm("w", 1), "c")).as("it counts as before").isFalse();
+    assertThat(index.isAllowed(vm("w", 1), "c")).as("the VM is counted again").isFalse();
     index.withoutAttempt(3, () -> assertThat(index.isAllowed(vm("w", 1), "c")).isTrue());
   }
 
@@ -271,9 +273,9 @@
                 index.withoutAttempt(
                     1,
                     () -> {
-                      throw new IllegalStateException("planted");
+                      throw new IllegalStateException("action failed");
                     }))
-        .hasMessage("planted");
+        .hasMessage("action failed");
 
     assertThat(index.isAllowed(vm("w", 1), "a")).isFalse();
   }
@@ -320,12 +322,15 @@
     assertThat(index.isAllowed(vm, machine.name())).as(context).isEqualTo(isAllowed);
     if (isAllowed) {
       assertThat(index.explainRejection(vm, machine.name()))
-          .as("the explanation agrees: " + context)
+          .as("no required constraint is reported for an allowed machine: " + context)
           .noneMatch(ConstraintIndexTest::isRequiredAndNotSkew);
     }
   }
 
-  /** A skew is explained by itself, and judged by what the constraints before it leave open. */
+  /**
+   * A skew is explained on its own, but applied to the machines that the preceding constraints
+   * allow.
+   */
   private static boolean isRequiredAndNotSkew(RejectionReason reason) {
     PlacementConstraint constraint = reason.constraint().orElseThrow();
     return constraint.isRequired()
--- a/src/test/java/fordridge/constraint/ConstraintParserTest.java
+++ b/src/test/java/fordridge/constraint/ConstraintParserTest.java
@@ -93,22 +93,22 @@
     assertThatThrownBy(
             () -> ConstraintParser.parse("rule a: flavour mtcher require on kind std;", known))
         .hasMessageContaining("1:17")
-        .hasMessageContaining("no flavour 'mtcher'; there are lobby, matcher");
+        .hasMessageContaining("no flavour 'mtcher'; valid values: lobby, matcher");
   }
 
   @Example
   void duplicateNameIsReportedWithItsFirstLine() {
     assertThatThrownBy(
             () -> parse("rule a: all require on kind x;\nrule a: all require on kind y;"))
-        .hasMessageContaining("stands already in line 1");
+        .hasMessageContaining("rule 'a' is already defined in line 1");
   }
 
   @Example
   void deepNestingIsRejectedBeforeParsing() {
     assertThatThrownBy(() -> parse("rule a: all require on " + "(".repeat(5000) + "kind x;"))
-        .hasMessageContaining("nested");
+        .hasMessageContaining("nested 5000 levels deep");
     assertThatThrownBy(() -> parse("rule a: all require on " + "not ".repeat(20_000) + "kind x;"))
-        .hasMessageContaining("'not' 20000 times");
+        .hasMessageContaining("'not' occurs 20000 times");
   }
 
   @Example
--- a/src/test/java/fordridge/constraint/ConstraintValidatorTest.java
+++ b/src/test/java/fordridge/constraint/ConstraintValidatorTest.java
@@ -29,14 +29,14 @@
         .anyMatch(
             text ->
                 text.startsWith("rule 'n' (line 1: near service 4 per zone) and rule 'a' (line 2")
-                    && text.contains("leave no place as soon as one of service 4 runs"));
+                    && text.contains("leave no allowed machines once a VM of service 4 runs"));
   }
 
   @Example
   void antiAffinityPerMachineDoesNotContradictAffinityPerZone() throws Exception {
     assertThat(
             findConflicts(parse(NEAR + "rule a: all require apart service 4 per machine;"), FLEET))
-        .as("another machine of the zone will do")
+        .as("another machine of the zone satisfies both")
         .isEmpty();
   }
 
@@ -71,7 +71,8 @@
     assertThat(conflicts.get(0).constraints())
         .extracting(PlacementConstraint::name)
         .containsExactlyInAnyOrder("n", "p", "q");
-    assertThat(conflicts.get(0).toString()).contains("leave no places for one of each at once");
+    assertThat(conflicts.get(0).toString())
+        .contains("do not allow one VM of each class to run at the same time");
   }
 
   @Example
@@ -85,16 +86,18 @@
             rule self: flavour a require apart flavour a per zone;
             rule north: customer north and flavour a require on kind std;""");
 
-    assertThat(findConflicts(constraints, FLEET)).as("three zones for three").isEmpty();
+    assertThat(findConflicts(constraints, FLEET)).as("three zones for three classes").isEmpty();
     assertThat(findConflicts(constraints, FLEET.subList(0, 4)).get(0).constraints())
         .extracting(PlacementConstraint::name)
         .containsExactlyInAnyOrder("x", "y", "z");
     assertThat(findConflicts(constraints, List.of()))
-        .as("nothing is known of machines yet")
+        .as("without machines nothing can be concluded")
         .isEmpty();
   }
 
-  /** What is rejected when read can be placed nowhere, and what is not rejected can begin. */
+  /**
+   * A set has a label conflict exactly if, before any VM runs, some class has no allowed machine.
+   */
   @Property(tries = 300, seed = "8180")
   void labelConflictsAreFoundExactlyWhenAVmHasNoAllowedMachine(@ForAll long seed) throws Exception {
     List<PlacementConstraint> constraints = ConstraintFixtures.randomConstraints(new Random(seed));
--- a/src/test/java/fordridge/constraint/GroupFeasibilityTest.java
+++ b/src/test/java/fordridge/constraint/GroupFeasibilityTest.java
@@ -23,7 +23,7 @@
     return indexOf(parse(text), FLEET);
   }
 
-  /** One member of each priority class, each of 8 cores and of a service of its own. */
+  /** Returns one member for each priority class, each with 8 cores and a service of its own. */
   private static List<GroupMember> group(String... priorityClasses) {
     List<GroupMember> group = new ArrayList<>();
     for (String priorityClass : priorityClasses) {
@@ -72,7 +72,7 @@
     assertThat(
             solve(index(""), group("v", "v", "v", "v", "v", "v", "v", "v", "v"))
                 .isCapacityExceeded())
-        .as("nine eights in 4 x 16")
+        .as("nine members of 8 cores on four machines of 16 cores")
         .isTrue();
   }
 
@@ -91,7 +91,7 @@
     index.attemptEnded("x");
     index.machineListReceived(FLEET.subList(0, 2));
     assertThat(conflictNames(solve(index, group("w", "w"))))
-        .as("a zone vanished")
+        .as("one zone is no longer listed")
         .containsExactly("m");
   }
 
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Infeasible only where no way exists, feasible only with places that keep every constraint, and
-   * no constraint named in vain.
+   * Compares the solver with an exhaustive search: the verdicts agree, a feasible placement
+   * satisfies every constraint, and every constraint of a reported conflict is needed for it.
    */
   @Property(tries = 400, seed = "4711")
   void agreesWithExhaustiveSearch(@ForAll long seed) throws Exception {
@@ -165,13 +165,13 @@
     double cores = result.isCapacityExceeded() ? oracle.coresPerMachine() : UNLIMITED_CORES;
     List<PlacementConstraint> conflicting = result.conflictingConstraints();
     assertThat(oracle.withConstraintsAndCores(conflicting, cores).hasPlacement(machineByRunning))
-        .as("what is named conflicts: " + oracle)
+        .as("the reported constraints conflict: " + oracle)
         .isFalse();
     for (PlacementConstraint constraint : conflicting) {
       List<PlacementConstraint> others = new ArrayList<>(conflicting);
       others.remove(constraint);
       assertThat(oracle.withConstraintsAndCores(others, cores).hasPlacement(machineByRunning))
-          .as(oracle + ": " + constraint + " is needed")
+          .as(oracle + ": " + constraint + " is needed for the conflict")
           .isTrue();
     }
   }
--- a/src/test/java/fordridge/constraint/GroupOracle.java
+++ b/src/test/java/fordridge/constraint/GroupOracle.java
@@ -11,12 +11,14 @@
 import java.util.Map;
 
 /**
- * Judges placements of whole groups by trying everything, by the words of the language alone: what
- * the members do against each other and against what ran before.
+ * Test oracle that evaluates placements of whole groups by exhaustive search.
+ *
+ * <p>It implements the definition of the language directly, between the members and against the VMs
+ * that already run.
  *
  * @param constraints required constraints without maximum skews
- * @param running VMs that ran before; their places are part of each placement
- * @param coresPerMachine what the members may use of each machine
+ * @param running VMs that already run; their machines are part of each placement
+ * @param coresPerMachine cores of each machine that are available to the members
  */
 record GroupOracle(
     List<PlacementConstraint> constraints,
@@ -25,13 +27,15 @@
     List<GroupMember> group,
     double coresPerMachine) {
 
-  /** The same question under other constraints, with other capacity. */
+  /** Returns the same problem with other constraints and other capacity. */
   GroupOracle withConstraintsAndCores(
       List<PlacementConstraint> otherConstraints, double otherCoresPerMachine) {
     return new GroupOracle(otherConstraints, fleet, running, group, otherCoresPerMachine);
   }
 
-  /** Whether any placement of all members keeps everything, beside what runs. */
+  /**
+   * Whether any placement of all members satisfies all constraints, in addition to the running VMs.
+   */
   boolean hasPlacement(Map<String, String> machineByRunning) {
     return hasPlacement(machineByRunning, 0);
   }
@@ -50,7 +54,7 @@
     return false;
   }
 
-  /** Whether a placement of all VMs keeps capacity and every constraint on each member. */
+  /** Whether a placement of all VMs satisfies capacity and every constraint on each member. */
   boolean isSatisfiedBy(Map<String, String> machineByVm) {
     return fleet.stream().allMatch(machine -> fits(machine, machineByVm))
         && constraints.stream()
--- a/src/test/java/fordridge/constraint/GroupPlanTest.java
+++ b/src/test/java/fordridge/constraint/GroupPlanTest.java
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Places as the scheduler does: any allowed machine of least penalty; empty if a member finds
-   * none.
+   * Places the group like the scheduler, each member on any allowed machine of lowest penalty;
+   * empty if there is none for some member.
    */
   private static Optional<Map<String, String>> place(
       ConstraintIndex index,
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Where machines are few, what the solver found is what is placed: every member, and every
-   * constraint kept at the end.
+   * With few machines, members go to the machines that the solver found: all are placed, and all
+   * constraints are satisfied at the end.
    */
   @Property(tries = 400, seed = "4711")
   void plannedGroupIsPlacedCompletelyOnFewMachines(@ForAll long seed) throws Exception {
@@ -100,7 +100,10 @@
     assertPlacementSatisfiesConstraints(new Random(seed), machines, true);
   }
 
-  /** Where they are many the choice is free but for near; what is placed whole keeps every rule. */
+  /**
+   * With many machines, the choice is free except for affinities; a group that is placed completely
+   * satisfies every constraint.
+   */
   @Property(tries = 400, seed = "4711")
   void plannedGroupSatisfiesTheConstraintsOnManyMachines(@ForAll long seed) throws Exception {
     assertPlacementSatisfiesConstraints(new Random(seed), MACHINES_OF_LARGE_FLEET, false);
@@ -141,12 +144,14 @@
                 new MachineTopology("a", "std", "x", 0), new MachineTopology("b", "std", "x", 0)));
     List<GroupMember> group =
         List.of(new GroupMember("1", vm("w", 1), 8, 8), new GroupMember("2", vm("w", 1), 8, 8));
-    assertThat(plan(index, group, 10, 16).rejectionReason()).as("full now").isEmpty();
+    assertThat(plan(index, group, 10, 16).rejectionReason())
+        .as("the free capacity is too small, the total capacity is not")
+        .isEmpty();
     assertThat(plan(index, group, 10, 10).rejectionReason().orElseThrow())
         .contains("rule 'n'")
         .contains("the size of the machines");
     assertThat(plan(index, group, 10, 10, () -> true).rejectionReason())
-        .as("stopped before it was known")
+        .as("the search was stopped before a result")
         .isEmpty();
   }
 }
--- a/src/test/java/fordridge/constraint/PlacementBenchmark.java
+++ b/src/test/java/fordridge/constraint/PlacementBenchmark.java
@@ -24,9 +24,11 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
 /**
- * What constraints add to a placement: one VM leaves, one comes, and every machine is asked about
- * for it, as the scheduler does; against a scan that counts what runs for each machine anew. Not a
- * test: run its main.
+ * Measures what constraints add to the cost of a placement.
+ *
+ * <p>One VM ends, another starts, and the index is queried for every machine, as the scheduler
+ * does. The baseline is a scan that counts the running VMs for each machine. This is not a test:
+ * run its main method.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -46,11 +48,11 @@
     "require spread at most 3 per machine"
   };
 
-  /** Machines in the list; twice as many VMs run. */
+  /** Number of listed machines; twice as many VMs run. */
   @Param({"60", "600", "6000"})
   public int machines;
 
-  /** Constraints in the set. */
+  /** Number of constraints in the set. */
   @Param({"0", "10", "1000"})
   public int rules;
 
@@ -62,7 +64,7 @@
   private ConstraintIndex index;
   private int next;
 
-  /** Fills the machines with VMs, whatever the constraints say. */
+  /** Places VMs on the machines, regardless of the constraints. */
   @Setup(Level.Trial)
   public void fill() throws Exception {
     constraints = ConstraintFixtures.parse(constraintText());
@@ -80,7 +82,10 @@
     }
   }
 
-  /** Ten select a class each, the rest a service or two: most of a large set concerns others. */
+  /**
+   * The first ten constraints select a priority class, the others one service each, so that most of
+   * a large set does not apply to a given VM.
+   */
   private String constraintText() {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < rules; i++) {
@@ -91,7 +96,7 @@
     return text.toString();
   }
 
-  /** One VM is placed anew, every machine judged by the index. */
+  /** Replaces one VM, and evaluates every machine with the index. */
   @Benchmark
   public double placeByIndex() {
     int attempt = next++ % placedVms.size();
@@ -110,7 +115,7 @@
     return sum;
   }
 
-  /** Every machine judged for one VM by a scan of all that run. */
+  /** Evaluates every machine for one VM by a scan of all running VMs. */
   @Benchmark
   public double placeByScan() {
     int attempt = next++ % placedVms.size();
--- a/src/test/java/fordridge/constraint/PlacementOracle.java
+++ b/src/test/java/fordridge/constraint/PlacementOracle.java
@@ -12,25 +12,27 @@
 import java.util.Map;
 
 /**
- * Judges single placements by a scan of all that runs: the language as docs/constraints.md words
- * it, one machine at a time, sharing nothing with the index.
+ * Test oracle that evaluates single placements by a scan of all running VMs.
+ *
+ * <p>It implements the language as defined in {@code docs/constraints.md}, for one machine at a
+ * time, and shares no code with the index.
  */
 record PlacementOracle(
     List<PlacementConstraint> constraints,
     List<MachineTopology> fleet,
     Collection<RunningVm> running) {
 
-  /** A VM and its machine. */
+  /** A running VM and its machine. */
   record RunningVm(VmAttributes vm, MachineTopology machine) {}
 
-  /** Whether all required constraints let the VM go to the machine. */
+  /** Whether all required constraints allow the VM on the machine. */
   boolean isAllowed(VmAttributes vm, MachineTopology machine) {
     return satisfiesConstraints(vm, machine, constraints.size())
         && constraints.stream()
             .noneMatch(constraint -> violatesReverseAntiAffinity(constraint, vm, machine));
   }
 
-  /** By the first so many constraints alone. */
+  /** Whether the VM satisfies the first {@code count} constraints on that machine. */
   private boolean satisfiesConstraints(VmAttributes vm, MachineTopology machine, int count) {
     for (int i = 0; i < count; i++) {
       PlacementConstraint constraint = constraints.get(i);
@@ -68,7 +70,9 @@
     return counts.isEmpty() || counts.containsKey(domain(machine, affinity.level()));
   }
 
-  /** Against the domain with fewest that the VM could go to by the constraints before. */
+  /**
+   * Compares with the domain with the fewest VMs among those that the preceding constraints allow.
+   */
   private boolean satisfiesSkew(
       Scope scope, SpreadSkew skew, int position, VmAttributes vm, MachineTopology machine) {
     Map<String, Integer> counts = counts(scope, skew.level(), skew.perService(), vm);
