--- a/src/main/antlr4/fordridge/constraint/grammar/Constraints.g4
+++ b/src/main/antlr4/fordridge/constraint/grammar/Constraints.g4
@@ -12,11 +12,11 @@
 selector: field=(CUSTOMER | FLAVOUR | SERVICE) value (',' value)*;
 
 clause
-    : NEAR scope PER domain                                        # affinity
-    | APART scope PER domain                                       # antiAffinity
-    | SPREAD AT MOST limit=NUMBER (OF EACH SERVICE)? PER domain limitScope? # spreadLimit
-    | SPREAD WITHIN maxSkew=NUMBER (OF EACH SERVICE)? PER domain   # spreadSkew
-    | ON predicate                                                 # machineLabels
+    : NEAR scope PER domain                                                   # affinity
+    | APART scope PER domain                                                  # antiAffinity
+    | SPREAD AT MOST limit=NUMBER (OF EACH SERVICE)? PER domain limitScope?   # spreadLimit
+    | SPREAD WITHIN maxSkew=NUMBER (OF EACH SERVICE)? PER domain              # spreadSkew
+    | ON predicate                                                            # machineLabels
     ;
 
 domain: MACHINE | CELL | ZONE;
