--- a/src/main/java/fordridge/constraint/GroupPlan.java
+++ b/src/main/java/fordridge/constraint/GroupPlan.java
@@ -105,8 +105,8 @@
         result.conflictingConstraints().stream()
             .map(constraint -> "rule '" + constraint.name() + "' (" + constraint.clause() + ")")
             .collect(Collectors.joining(" and "));
-    StringBuilder reason =
-        new StringBuilder("no placement of all " + groupSize + " members is possible with ");
+    // This text is part of the protocol: it is sent to clients as the reason of a rejection.
+    StringBuilder reason = new StringBuilder("no placing of all " + groupSize + " meets ");
     reason.append(constraints);
     if (result.isCapacityExceeded()) {
       reason.append(constraints.isEmpty() ? "" : " and ").append("the size of the machines");
--- a/src/main/java/fordridge/constraint/PlacementAuditor.java
+++ b/src/main/java/fordridge/constraint/PlacementAuditor.java
@@ -86,9 +86,8 @@
     reasons.add(
         RejectionReason.withoutConstraint(
             Cause.BETTER_MACHINE_AVAILABLE,
-            "machine "
-                + catalog.machine(better.getAsInt()).name()
-                + " has a lower preference penalty"));
+            // This text is part of the protocol: it is sent in replies to operators.
+            "machine " + catalog.machine(better.getAsInt()).name() + " would do better"));
     improvable.put(attempt, reasons);
   }
 
--- a/src/main/java/fordridge/constraint/RejectionExplainer.java
+++ b/src/main/java/fordridge/constraint/RejectionExplainer.java
@@ -5,6 +5,7 @@
 import java.util.List;
 
 /** Explains to operators why a VM cannot, or preferably should not, be placed on a machine. */
+// The texts of the reasons are part of the protocol: they are sent in replies to operators.
 final class RejectionExplainer {
   private final MachineCatalog catalog;
   private final PlacementCounters counters;
@@ -33,14 +34,13 @@
     if (!catalog.isListed(machine)) {
       reasons.add(
           RejectionReason.withoutConstraint(
-              Cause.MACHINE_NOT_LISTED,
-              "machine '" + machineName + "' is not in the machine list"));
+              Cause.MACHINE_NOT_LISTED, "no machine '" + machineName + "' in the list"));
       return reasons;
     }
     if (catalog.isDraining(machine)) {
       reasons.add(
           RejectionReason.withoutConstraint(
-              Cause.MACHINE_DRAINING, "the machine is draining and accepts no new VMs"));
+              Cause.MACHINE_DRAINING, "it drains: nothing new goes there"));
     }
     ApplicableConstraints applicable = constraintCache.applicableConstraints(vm);
     addOwnViolations(applicable.own(), vm, machine, reasons);
@@ -77,11 +77,11 @@
         reasons.add(
             RejectionReason.violated(
                 constraint,
-                "required by other VMs: "
+                "required of others: "
                     + constraint.scope()
-                    + " must be apart from this VM, and "
+                    + " keeps apart from these, and "
                     + counter.count(domain)
-                    + " of them run in "
+                    + " of it run in "
                     + key.level()
                     + " "
                     + domain));
@@ -97,7 +97,7 @@
     List<CounterKey> keys = CounterKey.keysOf(constraint, vm.service());
     if (keys.isEmpty()) {
       MachineTopology topology = catalog.machine(machine);
-      return " (the machine has kind "
+      return " (it is kind "
           + topology.kind()
           + ", zone "
           + topology.zone()
--- a/src/test/java/fordridge/constraint/ConstraintIndexTest.java
+++ b/src/test/java/fordridge/constraint/ConstraintIndexTest.java
@@ -97,7 +97,7 @@
     index.attemptSent(1, vm("w", 1), "a");
     assertThat(allowedMachines(index, "b", 1)).doesNotContain("a").hasSize(4);
     assertThat(index.explainRejection(vm("b", 1), "a").get(0).description())
-        .contains("must be apart from this VM");
+        .contains("keeps apart");
   }
 
   @Example
@@ -119,7 +119,7 @@
         .containsExactly("a", "b", "c", "d");
     assertThat(index.explainRejection(vm("w", 7), "e"))
         .extracting(RejectionReason::description)
-        .anyMatch(description -> description.contains("is draining"));
+        .anyMatch(description -> description.contains("drains"));
     assertThat(index.findViolatingPlacements()).isEmpty();
     for (int attempt = 3; attempt <= 5; attempt++) {
       index.attemptEnded(attempt);
@@ -175,7 +175,7 @@
         .extracting(RejectionReason::cause)
         .containsExactly(RejectionReason.Cause.MACHINE_NOT_LISTED);
     assertThat(reasons.get(0).constraint()).isEmpty();
-    assertThat(reasons.get(0)).hasToString("machine 'e' is not in the machine list");
+    assertThat(reasons.get(0)).hasToString("no machine 'e' in the list");
   }
 
   @Example
@@ -257,7 +257,7 @@
     index.attemptEnded(1);
     assertThat(index.findImprovablePlacements(9).get(3))
         .extracting(RejectionReason::description)
-        .anyMatch(description -> description.contains("machine a has a lower preference penalty"));
+        .anyMatch(description -> description.contains("machine a would do better"));
     assertThat(index.findImprovablePlacements(0)).isEmpty();
     assertThat(index.isAllowed(vm("w", 1), "c")).as("the VM is counted again").isFalse();
     index.withoutAttempt(3, () -> assertThat(index.isAllowed(vm("w", 1), "c")).isTrue());
