--- a/src/main/java/fordridge/constraint/ConstraintEvaluator.java
+++ b/src/main/java/fordridge/constraint/ConstraintEvaluator.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import org.roaringbitmap.RoaringBitmap;
 
-/** Evaluates single constraints against what is counted: which machines they leave open to a VM. */
+/** Evaluates single constraints against the current counts: which machines each allows for a VM. */
 final class ConstraintEvaluator {
   private final MachineCatalog catalog;
   private final PlacementCounters counters;
@@ -15,7 +15,7 @@
     this.schedulerCount = schedulerCount;
   }
 
-  /** Takes out of the candidates what the constraint keeps the VM from. */
+  /** Removes from the candidates the machines that the constraint forbids for the VM. */
   void restrict(RoaringBitmap candidates, PlacementConstraint constraint, VmAttributes vm) {
     PlacementConstraint.Clause clause = constraint.clause();
     if (clause instanceof PlacementConstraint.MachineLabels labels) {
@@ -38,15 +38,19 @@
     }
   }
 
-  /** Takes out of the candidates where VMs run that another scope's anti-affinity keeps away. */
-  void restrictByOthers(RoaringBitmap candidates, PlacementConstraint antiAffinityOfOthers) {
-    CounterKey key = ApplicableConstraints.scopeCounterKey(antiAffinityOfOthers);
+  /**
+   * Removes from the candidates the machines in domains that hold VMs of the scope of a reverse
+   * anti-affinity.
+   */
+  void restrictByReverseAntiAffinity(
+      RoaringBitmap candidates, PlacementConstraint reverseAntiAffinity) {
+    CounterKey key = ApplicableConstraints.scopeCounterKey(reverseAntiAffinity);
     candidates.andNot(counters.counter(key).occupiedMachines());
   }
 
-  /** Whether the constraint alone keeps the VM from the machine. */
+  /** Whether the constraint, evaluated on its own, forbids the machine for the VM. */
   boolean isViolated(PlacementConstraint constraint, VmAttributes vm, int machine) {
-    RoaringBitmap candidates = catalog.openMachines();
+    RoaringBitmap candidates = catalog.schedulableMachines();
     candidates.add(machine);
     restrict(candidates, constraint, vm);
     return !candidates.contains(machine);
@@ -70,26 +74,29 @@
 
   private void restrictToSkew(
       RoaringBitmap candidates, PlacementConstraint.SpreadSkew skew, DomainCounter counter) {
-    int fewest = fewestInOpenDomain(candidates, skew.level(), counter);
+    int minCount = minCountInCandidateDomains(candidates, skew.level(), counter);
     counter.forEachOccupiedDomain(
         (domain, count) -> {
-          if (count + 1 - fewest > skew.maxSkew()) {
+          if (count + 1 - minCount > skew.maxSkew()) {
             candidates.andNot(catalog.machinesIn(domain));
           }
         });
   }
 
-  /** The fewest VMs in any domain with a candidate; the largest int where there is none. */
-  private int fewestInOpenDomain(
+  /**
+   * Returns the lowest count of VMs in any domain with a candidate, or {@link Integer#MAX_VALUE} if
+   * there is no candidate.
+   */
+  private int minCountInCandidateDomains(
       RoaringBitmap candidates, TopologyLevel level, DomainCounter counter) {
-    int fewest = Integer.MAX_VALUE;
-    for (Map.Entry<TopologyDomain, RoaringBitmap> entry :
+    int minCount = Integer.MAX_VALUE;
+    for (Map.Entry<PlacementDomain, RoaringBitmap> entry :
         catalog.machinesByDomainOf(level).entrySet()) {
       int count = counter.count(entry.getKey());
-      if (count < fewest && RoaringBitmap.intersects(candidates, entry.getValue())) {
-        fewest = count;
+      if (count < minCount && RoaringBitmap.intersects(candidates, entry.getValue())) {
+        minCount = count;
       }
     }
-    return fewest;
+    return minCount;
   }
 }
--- a/src/main/java/fordridge/constraint/ConstraintTreeReader.java
+++ b/src/main/java/fordridge/constraint/ConstraintTreeReader.java
@@ -20,8 +20,8 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Turns the parser's tree into constraints, and reports what the grammar cannot see: unknown names,
- * names used twice, numbers out of range.
+ * Converts the parse tree into constraints, and reports errors that the grammar does not exclude:
+ * unknown names, duplicate names and numbers out of range.
  */
 final class ConstraintTreeReader extends ConstraintsBaseVisitor<PlacementConstraint.Clause> {
   private static final int MAX_NUMBER = 1_000_000;
@@ -40,18 +40,18 @@
     this.problems = problems;
   }
 
-  /** All constraints of a file; of use only if no problem was reported. */
+  /** Reads all constraints of a file; the result is meaningful only if no problem was reported. */
   List<PlacementConstraint> readAll(ConstraintsParser.FileContext file) {
     List<PlacementConstraint> constraints = new ArrayList<>();
-    for (ConstraintsParser.Rule_Context context : file.rule_()) {
+    for (ConstraintsParser.ConstraintContext context : file.constraint()) {
       PlacementConstraint constraint = readConstraint(context);
-      checkNameIsNew(context.name);
+      checkNameIsUnique(context.name);
       constraints.add(constraint);
     }
     return constraints;
   }
 
-  private PlacementConstraint readConstraint(ConstraintsParser.Rule_Context context) {
+  private PlacementConstraint readConstraint(ConstraintsParser.ConstraintContext context) {
     ConstraintsParser.StrengthContext strength = context.strength();
     double weight = strength.PREFER() == null ? 0 : readNumber(strength.weight);
     Scope scope = readScope(context.scope());
@@ -60,12 +60,16 @@
         context.name.getText(), scope, weight, clause, context.name.getLine());
   }
 
-  private void checkNameIsNew(Token name) {
+  private void checkNameIsUnique(Token name) {
     Integer firstLine = lineByName.putIfAbsent(name.getText(), name.getLine());
     if (firstLine != null) {
       report(
           name,
-          "rule '" + name.getText() + "' stands already in line " + firstLine + "; each name once");
+          "rule '"
+              + name.getText()
+              + "' is already defined in line "
+              + firstLine
+              + "; names must be unique");
     }
   }
 
@@ -85,22 +89,23 @@
   }
 
   private void readNames(
-      ConstraintsParser.SelectorContext selector, Set<String> into, Set<String> allowed) {
-    checkFirstOfScope(selector, into);
+      ConstraintsParser.SelectorContext selector, Set<String> names, Set<String> allowed) {
+    checkFieldNotRepeated(selector, names);
     for (ConstraintsParser.ValueContext value : selector.value()) {
       String name = textOf(value);
-      into.add(name);
+      names.add(name);
       checkKnown(value.start, name, allowed, selector.field.getText());
     }
   }
 
-  private void readServices(ConstraintsParser.SelectorContext selector, Set<String> into) {
-    checkFirstOfScope(selector, into);
+  private void readServices(ConstraintsParser.SelectorContext selector, Set<String> services) {
+    checkFieldNotRepeated(selector, services);
     for (ConstraintsParser.ValueContext value : selector.value()) {
       String number = textOf(value);
-      into.add(number);
+      services.add(number);
       if (!isServiceNumber(number)) {
-        report(value.start, "service '" + number + "' is not a number");
+        report(
+            value.start, "service '" + number + "' is not a number from 0 to 9223372036854775807");
       }
     }
   }
@@ -117,62 +122,66 @@
     }
   }
 
-  private void checkFirstOfScope(
-      ConstraintsParser.SelectorContext selector, Set<String> valuesSoFar) {
-    if (!valuesSoFar.isEmpty()) {
+  private void checkFieldNotRepeated(
+      ConstraintsParser.SelectorContext selector, Set<String> valuesReadSoFar) {
+    if (!valuesReadSoFar.isEmpty()) {
       report(
           selector.field,
-          "'" + selector.field.getText() + "' twice in one scope; list its values with commas");
+          "'"
+              + selector.field.getText()
+              + "' occurs twice in one scope; separate its values by commas instead");
     }
   }
 
   @Override
-  public PlacementConstraint.Clause visitNear(ConstraintsParser.NearContext context) {
+  public PlacementConstraint.Clause visitAffinity(ConstraintsParser.AffinityContext context) {
     return new PlacementConstraint.Affinity(
         readScope(context.scope()), readLevel(context.domain()));
   }
 
   @Override
-  public PlacementConstraint.Clause visitApart(ConstraintsParser.ApartContext context) {
+  public PlacementConstraint.Clause visitAntiAffinity(
+      ConstraintsParser.AntiAffinityContext context) {
     return new PlacementConstraint.AntiAffinity(
         readScope(context.scope()), readLevel(context.domain()));
   }
 
   @Override
-  public PlacementConstraint.Clause visitMost(ConstraintsParser.MostContext context) {
-    boolean isClusterWide = context.reach() != null && context.reach().OVERALL() != null;
+  public PlacementConstraint.Clause visitSpreadLimit(ConstraintsParser.SpreadLimitContext context) {
+    boolean isClusterWide = context.limitScope() != null && context.limitScope().OVERALL() != null;
     return new PlacementConstraint.SpreadLimit(
-        readNumber(context.most),
+        readNumber(context.limit),
         context.EACH() != null,
         readLevel(context.domain()),
         isClusterWide);
   }
 
   @Override
-  public PlacementConstraint.Clause visitSkew(ConstraintsParser.SkewContext context) {
+  public PlacementConstraint.Clause visitSpreadSkew(ConstraintsParser.SpreadSkewContext context) {
     return new PlacementConstraint.SpreadSkew(
-        readNumber(context.skew), context.EACH() != null, readLevel(context.domain()));
+        readNumber(context.maxSkew), context.EACH() != null, readLevel(context.domain()));
   }
 
   @Override
-  public PlacementConstraint.Clause visitOn(ConstraintsParser.OnContext context) {
+  public PlacementConstraint.Clause visitMachineLabels(
+      ConstraintsParser.MachineLabelsContext context) {
     return new PlacementConstraint.MachineLabels(readPredicate(context.predicate()));
   }
 
   private LabelPredicate readPredicate(ParserRuleContext context) {
-    if (context instanceof ConstraintsParser.NestedContext nested) {
-      return readPredicate(nested.predicate());
+    if (context instanceof ConstraintsParser.ParenthesizedContext parenthesized) {
+      return readPredicate(parenthesized.predicate());
     }
-    if (context instanceof ConstraintsParser.NotContext not) {
-      return new PlacementConstraint.Not(readPredicate(not.predicate()));
+    if (context instanceof ConstraintsParser.NegationContext negation) {
+      return new PlacementConstraint.Not(readPredicate(negation.predicate()));
     }
-    if (context instanceof ConstraintsParser.BothContext both) {
+    if (context instanceof ConstraintsParser.ConjunctionContext conjunction) {
       return new PlacementConstraint.And(
-          readPredicate(both.predicate(0)), readPredicate(both.predicate(1)));
+          readPredicate(conjunction.predicate(0)), readPredicate(conjunction.predicate(1)));
     }
-    if (context instanceof ConstraintsParser.EitherContext either) {
+    if (context instanceof ConstraintsParser.DisjunctionContext disjunction) {
       return new PlacementConstraint.Or(
-          readPredicate(either.predicate(0)), readPredicate(either.predicate(1)));
+          readPredicate(disjunction.predicate(0)), readPredicate(disjunction.predicate(1)));
     }
     return readLabel((ConstraintsParser.LabelContext) context);
   }
@@ -194,11 +203,11 @@
       case ZONE -> checkKnown(token, value, knownNames.zones(), key.toString());
       case CELL -> {
         if (!CELL_NUMBER.matcher(value).matches()) {
-          report(token, "cell '" + value + "' is not a number");
+          report(token, "cell '" + value + "' is not a number of at most 9 digits");
         }
       }
       case MACHINE -> {
-        // Machines come and go: any name may be used.
+        // Machines join and leave the cluster, so any name is valid.
       }
     }
   }
@@ -212,7 +221,7 @@
     } catch (NumberFormatException e) {
       // Too large for an int: reported below as out of range.
     }
-    report(token, "found " + token.getText() + ", allowed: a number from 1 to " + MAX_NUMBER);
+    report(token, "number " + token.getText() + " is out of range; allowed: 1 to " + MAX_NUMBER);
     return 1;
   }
 
@@ -233,7 +242,7 @@
               + field
               + " '"
               + name
-              + "'; there are "
+              + "'; valid values: "
               + String.join(", ", new TreeSet<>(allowed)));
     }
   }
--- a/src/main/java/fordridge/constraint/DomainCounter.java
+++ b/src/main/java/fordridge/constraint/DomainCounter.java
@@ -6,13 +6,13 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Counts VMs by the domains of one level, and keeps the machines of all domains that hold any as a
- * bitmap. A change costs the size of one domain at most.
+ * Counts VMs by the domains of one level, and maintains a bitmap of the machines in occupied
+ * domains, those with at least one VM. A change costs at most the size of one domain.
  */
 final class DomainCounter {
   private final MachineCatalog catalog;
   private final TopologyLevel level;
-  private final Map<TopologyDomain, Integer> countByDomain = new HashMap<>();
+  private final Map<PlacementDomain, Integer> countByDomain = new HashMap<>();
   private final RoaringBitmap occupiedMachines = new RoaringBitmap();
   private int total;
 
@@ -21,9 +21,9 @@
     this.level = level;
   }
 
-  /** Counts VMs on a machine: positive to add, negative to take out. */
+  /** Adds VMs on a machine to the count; a negative {@code delta} removes them. */
   void add(int machine, int delta) {
-    TopologyDomain domain = catalog.domainOf(machine, level);
+    PlacementDomain domain = catalog.domainOf(machine, level);
     int count = countByDomain.merge(domain, delta, Integer::sum);
     total += delta;
     if (count == 0) {
@@ -34,7 +34,7 @@
     }
   }
 
-  int count(TopologyDomain domain) {
+  int count(PlacementDomain domain) {
     return countByDomain.getOrDefault(domain, 0);
   }
 
@@ -42,18 +42,18 @@
     return total == 0;
   }
 
-  /** Machines of the domains that hold any; not to be changed. */
+  /** Returns the machines of the occupied domains; callers must not modify the bitmap. */
   RoaringBitmap occupiedMachines() {
     return occupiedMachines;
   }
 
-  /** Visits each domain that holds any, in no particular order. */
-  void forEachOccupiedDomain(ObjIntConsumer<TopologyDomain> visitor) {
+  /** Visits each occupied domain with its count, in no particular order. */
+  void forEachOccupiedDomain(ObjIntConsumer<PlacementDomain> visitor) {
     countByDomain.forEach(visitor::accept);
   }
 
-  /** A copy of the counts of all domains that hold any. */
-  Map<TopologyDomain, Integer> copyOfCounts() {
+  /** Returns a copy of the counts of all occupied domains. */
+  Map<PlacementDomain, Integer> copyOfCounts() {
     return Map.copyOf(countByDomain);
   }
 }
--- a/src/main/java/fordridge/constraint/RejectionExplainer.java
+++ b/src/main/java/fordridge/constraint/RejectionExplainer.java
@@ -4,25 +4,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Explains to operators what speaks against placing a VM on a machine. */
+/** Explains to operators why a VM cannot, or preferably should not, be placed on a machine. */
+// The texts of the reasons are part of the protocol: they are sent in replies to operators.
 final class RejectionExplainer {
   private final MachineCatalog catalog;
   private final PlacementCounters counters;
   private final ConstraintEvaluator evaluator;
-  private final CandidateFilter filter;
+  private final VmConstraintCache constraintCache;
 
   RejectionExplainer(
       MachineCatalog catalog,
       PlacementCounters counters,
       ConstraintEvaluator evaluator,
-      CandidateFilter filter) {
+      VmConstraintCache constraintCache) {
     this.catalog = catalog;
     this.counters = counters;
     this.evaluator = evaluator;
-    this.filter = filter;
+    this.constraintCache = constraintCache;
   }
 
-  /** Every reason, in the order of the set; each constraint is judged by itself. */
+  /**
+   * Returns every reason: first those that concern the machine, then violations of the VM's own
+   * constraints, then of reverse anti-affinities, each in the order of the set. Each constraint is
+   * evaluated on its own.
+   */
   List<RejectionReason> explain(VmAttributes vm, String machineName) {
     int machine = catalog.numberOf(machineName);
     List<RejectionReason> reasons = new ArrayList<>();
@@ -37,9 +42,9 @@
           RejectionReason.withoutConstraint(
               Cause.MACHINE_DRAINING, "it drains: nothing new goes there"));
     }
-    ApplicableConstraints applicable = filter.applicableConstraints(vm);
+    ApplicableConstraints applicable = constraintCache.applicableConstraints(vm);
     addOwnViolations(applicable.own(), vm, machine, reasons);
-    addViolationsOfOthers(applicable.antiAffinitiesOfOthers(), machine, reasons);
+    addReverseAntiAffinityViolations(applicable.reverseAntiAffinities(), machine, reasons);
     return reasons;
   }
 
@@ -57,18 +62,18 @@
         reasons.add(
             RejectionReason.violated(
                 constraint,
-                strength + ": " + constraint.clause() + circumstances(constraint, vm, machine)));
+                strength + ": " + constraint.clause() + countOrLabels(constraint, vm, machine)));
       }
     }
   }
 
-  private void addViolationsOfOthers(
+  private void addReverseAntiAffinityViolations(
       List<PlacementConstraint> constraints, int machine, List<RejectionReason> reasons) {
     for (PlacementConstraint constraint : constraints) {
       CounterKey key = ApplicableConstraints.scopeCounterKey(constraint);
       DomainCounter counter = counters.counter(key);
       if (counter.occupiedMachines().contains(machine)) {
-        TopologyDomain domain = catalog.domainOf(machine, key.level());
+        PlacementDomain domain = catalog.domainOf(machine, key.level());
         reasons.add(
             RejectionReason.violated(
                 constraint,
@@ -84,8 +89,11 @@
     }
   }
 
-  /** The count that the constraint judged by, or the machine's labels. */
-  private String circumstances(PlacementConstraint constraint, VmAttributes vm, int machine) {
+  /**
+   * Returns the count that the constraint was evaluated against or, for a label constraint, the
+   * labels of the machine.
+   */
+  private String countOrLabels(PlacementConstraint constraint, VmAttributes vm, int machine) {
     List<CounterKey> keys = CounterKey.keysOf(constraint, vm.service());
     if (keys.isEmpty()) {
       MachineTopology topology = catalog.machine(machine);
@@ -98,7 +106,7 @@
           + ")";
     }
     CounterKey key = keys.get(0);
-    TopologyDomain domain = catalog.domainOf(machine, key.level());
+    PlacementDomain domain = catalog.domainOf(machine, key.level());
     return " (" + counters.counter(key).count(domain) + " in " + key.level() + " " + domain + ")";
   }
 }
--- a/src/main/java/fordridge/constraint/CandidateFilter.java
+++ b/src/main/java/fordridge/constraint/VmConstraintCache.java
@@ -7,16 +7,18 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Answers which machines are open to a VM, from bitmaps that are computed at the first question
- * after a change and kept until the next one. A question about a further machine costs a map and a
- * bitmap look-up.
+ * Computes which machines the constraints allow for a VM, and caches the result by VM attributes.
+ *
+ * <p>A result is a bitmap that is computed on the first query after a change of machines or counts,
+ * and is valid until the next change. A query for another machine then costs one map look-up and
+ * one bitmap look-up.
  */
-final class CandidateFilter {
-  /** A preference and the machines that meet it. */
-  private record Preference(double weight, RoaringBitmap metBy) {}
+final class VmConstraintCache {
+  /** A preference and the machines that satisfy it. */
+  private record Preference(double weight, RoaringBitmap satisfyingMachines) {}
 
-  /** What is known about the VMs with the same attributes, each part with the version it is of. */
-  private static final class CachedCandidates {
+  /** Results for VMs with equal attributes, each with the version for which it was computed. */
+  private static final class CachedResults {
     final ApplicableConstraints constraints;
     RoaringBitmap allowed;
     long allowedVersion = NEVER;
@@ -25,7 +27,7 @@
     List<Preference> preferences;
     long preferencesVersion = NEVER;
 
-    CachedCandidates(ApplicableConstraints constraints) {
+    CachedResults(ApplicableConstraints constraints) {
       this.constraints = constraints;
     }
   }
@@ -36,9 +38,9 @@
   private final MachineCatalog catalog;
   private final PlacementCounters counters;
   private final ConstraintEvaluator evaluator;
-  private final Map<VmAttributes, CachedCandidates> cache = new HashMap<>();
+  private final Map<VmAttributes, CachedResults> cache = new HashMap<>();
 
-  CandidateFilter(
+  VmConstraintCache(
       List<PlacementConstraint> constraints,
       MachineCatalog catalog,
       PlacementCounters counters,
@@ -49,7 +51,7 @@
     this.evaluator = evaluator;
   }
 
-  /** Forgets what is known of all VMs, to bound the memory that it takes. */
+  /** Drops all cached results, which bounds the memory that the cache takes. */
   void clear() {
     cache.clear();
   }
@@ -58,9 +60,11 @@
     return cached(vm).constraints;
   }
 
-  /** Machines that all required constraints leave open; not to be changed. */
+  /**
+   * Returns the machines that all required constraints allow; callers must not modify the bitmap.
+   */
   RoaringBitmap allowedMachines(VmAttributes vm) {
-    CachedCandidates cached = cached(vm);
+    CachedResults cached = cached(vm);
     long version = version();
     if (cached.allowedVersion != version) {
       cached.allowed = computeAllowed(cached.constraints, vm, true);
@@ -69,9 +73,12 @@
     return cached.allowed;
   }
 
-  /** Machines that all required constraints but affinities leave open; not to be changed. */
+  /**
+   * Returns the machines that all required constraints other than affinities allow; callers must
+   * not modify the bitmap.
+   */
   RoaringBitmap allowedMachinesIgnoringAffinity(VmAttributes vm) {
-    CachedCandidates cached = cached(vm);
+    CachedResults cached = cached(vm);
     long version = version();
     if (cached.allowedIgnoringAffinityVersion != version) {
       cached.allowedIgnoringAffinity = computeAllowed(cached.constraints, vm, false);
@@ -80,9 +87,9 @@
     return cached.allowedIgnoringAffinity;
   }
 
-  /** The summed weight of the preferences that the machine does not meet. */
+  /** Returns the total weight of the preferences that the machine does not satisfy. */
   double preferencePenalty(VmAttributes vm, int machine) {
-    CachedCandidates cached = cached(vm);
+    CachedResults cached = cached(vm);
     long version = version();
     if (cached.preferencesVersion != version) {
       cached.preferences = computePreferences(cached.constraints, vm);
@@ -90,34 +97,38 @@
     }
     double penalty = 0;
     for (Preference preference : cached.preferences) {
-      if (machine != MachineCatalog.NOT_LISTED && !preference.metBy.contains(machine)) {
+      if (machine != MachineCatalog.UNKNOWN_MACHINE
+          && !preference.satisfyingMachines.contains(machine)) {
         penalty += preference.weight;
       }
     }
     return penalty;
   }
 
-  private CachedCandidates cached(VmAttributes vm) {
+  private CachedResults cached(VmAttributes vm) {
     return cache.computeIfAbsent(
-        vm, absent -> new CachedCandidates(ApplicableConstraints.select(constraints, absent)));
+        vm, key -> new CachedResults(ApplicableConstraints.select(constraints, key)));
   }
 
-  /** Both parts only increase, so the sum is the same only while neither changes. */
+  /**
+   * Version of the machines and the counts. Both parts only increase, so the sum is unchanged only
+   * while neither changes.
+   */
   private long version() {
     return catalog.version() + counters.version();
   }
 
   private RoaringBitmap computeAllowed(
       ApplicableConstraints applicable, VmAttributes vm, boolean withAffinity) {
-    RoaringBitmap allowed = catalog.openMachines();
+    RoaringBitmap allowed = catalog.schedulableMachines();
     for (PlacementConstraint constraint : applicable.own()) {
       boolean isAffinity = constraint.clause() instanceof PlacementConstraint.Affinity;
       if (constraint.isRequired() && (withAffinity || !isAffinity)) {
         evaluator.restrict(allowed, constraint, vm);
       }
     }
-    for (PlacementConstraint constraint : applicable.antiAffinitiesOfOthers()) {
-      evaluator.restrictByOthers(allowed, constraint);
+    for (PlacementConstraint constraint : applicable.reverseAntiAffinities()) {
+      evaluator.restrictByReverseAntiAffinity(allowed, constraint);
     }
     return allowed;
   }
@@ -126,9 +137,9 @@
     List<Preference> preferences = new ArrayList<>();
     for (PlacementConstraint constraint : applicable.own()) {
       if (!constraint.isRequired()) {
-        RoaringBitmap metBy = catalog.openMachines();
-        evaluator.restrict(metBy, constraint, vm);
-        preferences.add(new Preference(constraint.weight(), metBy));
+        RoaringBitmap satisfyingMachines = catalog.schedulableMachines();
+        evaluator.restrict(satisfyingMachines, constraint, vm);
+        preferences.add(new Preference(constraint.weight(), satisfyingMachines));
       }
     }
     return preferences;
--- a/src/test/java/fordridge/constraint/ConstraintIndexTest.java
+++ b/src/test/java/fordridge/constraint/ConstraintIndexTest.java
@@ -36,13 +36,15 @@
   }
 
   @Example
-  void affinityAndAntiAffinityFollowWhatRuns() throws Exception {
+  void affinityAndAntiAffinityDependOnRunningVms() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
             rule n: flavour w require near flavour a per zone;
             rule p: flavour w require apart flavour b per zone;""");
-    assertThat(allowedMachines(index, "w", 1)).as("near nothing yet: anywhere").hasSize(5);
+    assertThat(allowedMachines(index, "w", 1))
+        .as("any machine while no affinity target runs")
+        .hasSize(5);
     index.attemptSent(1, vm("a", 1), "a");
     assertThat(allowedMachines(index, "w", 1)).containsExactly("a", "b");
     index.attemptSent(2, vm("b", 1), "b");
@@ -55,7 +57,7 @@
   }
 
   @Example
-  void attemptOfUnknownOutcomeKeepsItsPlaceButDrawsNoOtherNear() throws Exception {
+  void attemptOfUnknownOutcomeCountsForAntiAffinityButIsNoAffinityTarget() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -68,7 +70,7 @@
     assertThat(allowedMachines(index, "b", 1)).containsExactly("e");
     index.attemptEnded(2);
     assertThat(allowedMachines(index, "w", 1))
-        .as("better where one may run than where none does")
+        .as("attempts of unknown outcome are targets if there are no others")
         .containsExactly("a", "b");
     index.attemptOutcomeUnknown(1);
     index.attemptEnded(1);
@@ -77,20 +79,20 @@
   }
 
   @Example
-  void serviceNumberZeroIsCountedByItself() throws Exception {
+  void serviceZeroIsCountedSeparately() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
             rule m: flavour w require spread at most 1 of each service per zone;
             rule n: flavour v require near flavour w per zone;""");
     index.attemptSent(1, vm("w", 5), "a");
-    assertThat(allowedMachines(index, "w", 0)).as("another service is no bar").hasSize(5);
+    assertThat(allowedMachines(index, "w", 0)).as("VMs of another service do not count").hasSize(5);
     index.attemptSent(2, vm("w", 0), "c");
     assertThat(allowedMachines(index, "w", 0)).containsExactly("a", "b", "e");
   }
 
   @Example
-  void antiAffinityHoldsBothWays() throws Exception {
+  void antiAffinityIsSymmetric() throws Exception {
     ConstraintIndex index = indexOf("rule p: flavour w require apart flavour b per machine;");
     index.attemptSent(1, vm("w", 1), "a");
     assertThat(allowedMachines(index, "b", 1)).doesNotContain("a").hasSize(4);
@@ -99,7 +101,7 @@
   }
 
   @Example
-  void drainingMachineKeepsNoSpreadWaiting() throws Exception {
+  void drainingMachineDoesNotBlockSpreadSkew() throws Exception {
     ConstraintIndex index =
         indexOf("rule s: flavour w require spread within 1 of each service per zone;");
     index.attemptSent(1, vm("w", 7), "a");
@@ -109,11 +111,11 @@
     index.drainingMachinesChanged(Set.of("e"));
     index.attemptSent(4, vm("w", 7), "b");
     assertThat(allowedMachines(index, "w", 7))
-        .as("zone z holds one and takes no more: zone y is next")
+        .as("draining zone z is not counted as the emptiest zone: zone y is next")
         .containsExactly("c", "d");
     index.attemptSent(5, vm("w", 7), "d");
     assertThat(allowedMachines(index, "w", 7))
-        .as("the zone that drains keeps nobody waiting")
+        .as("draining zone z does not limit the other zones")
         .containsExactly("a", "b", "c", "d");
     assertThat(index.explainRejection(vm("w", 7), "e"))
         .extracting(RejectionReason::description)
@@ -123,13 +125,13 @@
       index.attemptEnded(attempt);
     }
     index.machineListReceived(FLEET.subList(0, 4));
-    // Zone z left the list: the fewest among what is left counts, else nothing could be placed any
-    // more.
+    // Zone z left the list. If it still counted as the zone with the fewest VMs, no VM could be
+    // placed.
     assertThat(allowedMachines(index, "w", 7)).containsExactly("a", "b", "c", "d");
   }
 
   @Example
-  void cycleOfAffinitiesIsBegunByWhoeverComesFirst() throws Exception {
+  void cyclicAffinitiesAllowTheFirstVmAnywhere() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -143,7 +145,7 @@
   }
 
   @Example
-  void relabelledMachineCountsItsVmsInItsNewDomainsAndNamesThem() throws Exception {
+  void relabelledMachineCountsItsVmsInItsNewDomainsAndReportsViolations() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -154,11 +156,11 @@
     relabelled.set(0, new MachineTopology("a", "big", "y", 1));
     index.machineListReceived(relabelled);
     assertThat(namesOf(index.findViolatingPlacements().get(1))).containsExactly("k");
-    assertThat(index.isAllowed(vm("w", 2), "c")).as("its zone is y now").isFalse();
+    assertThat(index.isAllowed(vm("w", 2), "c")).as("machine a counts in its new zone y").isFalse();
   }
 
   @Example
-  void vmOnAMachineThatLeftTheListIsNamedWithoutAConstraint() throws Exception {
+  void vmOnAnUnlistedMachineIsReportedWithoutAConstraint() throws Exception {
     ConstraintIndex index = indexOf("rule k: flavour w require on kind std;");
     index.attemptSent(1, vm("w", 1), "e");
     index.machineListReceived(FLEET.subList(0, 4));
@@ -177,24 +179,24 @@
   }
 
   @Example
-  void newSetTakesOverWhatRuns() throws Exception {
+  void newConstraintSetInheritsRunningAttempts() throws Exception {
     ConstraintIndex index = indexOf("rule m: flavour w require spread at most 2 per machine;");
     index.attemptSent(1, vm("w", 1), "a");
     index.attemptSent(2, vm("w", 1), "a");
 
-    ConstraintIndex next =
+    ConstraintIndex newIndex =
         index.withConstraints(parse("rule m: flavour w require spread at most 1 per machine;"), 1);
 
-    assertThat(next.findViolatingPlacements().keySet()).containsExactly(1, 2);
-    assertThat(next.isAllowed(vm("w", 1), "a")).isFalse();
-    next.attemptEnded(1);
-    next.attemptEnded(2);
-    assertThat(next.isAllowed(vm("w", 1), "a")).isTrue();
-    assertThat(index.attemptCount()).as("the two share nothing").isEqualTo(2);
+    assertThat(newIndex.findViolatingPlacements().keySet()).containsExactly(1, 2);
+    assertThat(newIndex.isAllowed(vm("w", 1), "a")).isFalse();
+    newIndex.attemptEnded(1);
+    newIndex.attemptEnded(2);
+    assertThat(newIndex.isAllowed(vm("w", 1), "a")).isTrue();
+    assertThat(index.attemptCount()).as("the old index is unchanged").isEqualTo(2);
   }
 
   @Example
-  void unsatisfiableLabelsNameTheFewestConstraints() throws Exception {
+  void unsatisfiableLabelsYieldAMinimalConflict() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -224,7 +226,7 @@
   }
 
   @Example
-  void schedulersTogetherKeepAClusterWideLimit() throws Exception {
+  void schedulersTogetherRespectAClusterWideLimit() throws Exception {
     List<PlacementConstraint> constraints =
         parse("rule m: flavour w require spread at most 3 per zone overall;");
     int placed = 0;
@@ -238,11 +240,11 @@
         }
       }
     }
-    assertThat(placed).as("over all schedulers").isEqualTo(3);
+    assertThat(placed).as("total of all schedulers").isEqualTo(3);
   }
 
   @Example
-  void vmAgainstItsPreferenceIsNamedOnceABetterMachineIsOpen() throws Exception {
+  void improvablePlacementIsReportedOnceABetterMachineIsAllowed() throws Exception {
     ConstraintIndex index =
         indexOf(
             """
@@ -251,18 +253,18 @@
     index.attemptSent(1, vm("w", 1), "a");
     index.attemptSent(2, vm("w", 1), "b");
     index.attemptSent(3, vm("w", 1), "c");
-    assertThat(index.findImprovablePlacements(9)).as("nothing better is open").isEmpty();
+    assertThat(index.findImprovablePlacements(9)).as("no better machine is allowed").isEmpty();
     index.attemptEnded(1);
     assertThat(index.findImprovablePlacements(9).get(3))
         .extracting(RejectionReason::description)
         .anyMatch(description -> description.contains("machine a would do better"));
     assertThat(index.findImprovablePlacements(0)).isEmpty();
-    assertThat(index.isAllowed(vm("w", 1), "c")).as("it counts as before").isFalse();
+    assertThat(index.isAllowed(vm("w", 1), "c")).as("the VM is counted again").isFalse();
     index.withoutAttempt(3, () -> assertThat(index.isAllowed(vm("w", 1), "c")).isTrue());
   }
 
   @Example
-  void questionThatThrowsLeavesTheCountsAsTheyWere() throws Exception {
+  void countsAreRestoredWhenTheActionThrows() throws Exception {
     ConstraintIndex index = indexOf("rule m: flavour w require spread at most 1 per machine;");
     index.attemptSent(1, vm("w", 1), "a");
 
@@ -271,15 +273,15 @@
                 index.withoutAttempt(
                     1,
                     () -> {
-                      throw new IllegalStateException("planted");
+                      throw new IllegalStateException("action failed");
                     }))
-        .hasMessage("planted");
+        .hasMessage("action failed");
 
     assertThat(index.isAllowed(vm("w", 1), "a")).isFalse();
   }
 
   @Example
-  void preferencesWeighAndDoNotBind() throws Exception {
+  void preferencesAddPenaltiesButForbidNoMachine() throws Exception {
     ConstraintIndex index =
         indexOf("rule x: flavour w prefer 5 on zone x;\nrule y: flavour w prefer 2 on kind std;");
     assertThat(allowedMachines(index, "w", 1)).hasSize(5);
@@ -289,7 +291,7 @@
   }
 
   @Property(tries = 400, seed = "5150")
-  void agreesWithAPlainScanOfWhatRuns(@ForAll long seed) throws Exception {
+  void agreesWithAFullScanOfRunningVms(@ForAll long seed) throws Exception {
     Random random = new Random(seed);
     List<PlacementConstraint> constraints = ConstraintFixtures.randomConstraints(random);
     ConstraintIndex index = indexOf(constraints, FLEET);
@@ -314,19 +316,22 @@
   private static void assertAgrees(
       ConstraintIndex index, PlacementOracle oracle, VmAttributes vm, MachineTopology machine) {
     boolean isAllowed = oracle.isAllowed(vm, machine);
-    String circumstances =
+    String context =
         ConstraintParser.format(oracle.constraints()) + oracle.running() + vm + machine;
 
-    assertThat(index.isAllowed(vm, machine.name())).as(circumstances).isEqualTo(isAllowed);
+    assertThat(index.isAllowed(vm, machine.name())).as(context).isEqualTo(isAllowed);
     if (isAllowed) {
       assertThat(index.explainRejection(vm, machine.name()))
-          .as("the explanation agrees: " + circumstances)
-          .noneMatch(ConstraintIndexTest::isRequiredAndNoSkew);
+          .as("no required constraint is reported for an allowed machine: " + context)
+          .noneMatch(ConstraintIndexTest::isRequiredAndNotSkew);
     }
   }
 
-  /** A skew is explained by itself, and judged by what the constraints before it leave open. */
-  private static boolean isRequiredAndNoSkew(RejectionReason reason) {
+  /**
+   * A skew is explained on its own, but applied to the machines that the preceding constraints
+   * allow.
+   */
+  private static boolean isRequiredAndNotSkew(RejectionReason reason) {
     PlacementConstraint constraint = reason.constraint().orElseThrow();
     return constraint.isRequired()
         && !(constraint.clause() instanceof PlacementConstraint.SpreadSkew);
