--- a/src/main/java/fordridge/discovery/MachineListFile.java
+++ b/src/main/java/fordridge/discovery/MachineListFile.java
@@ -149,7 +149,7 @@
     List<SettingError> errors = new ArrayList<>();
     ConfigReader reader = new ConfigReader(config, "", errors);
     if (reader.integer("version", 1, MAX_FORMAT_VERSION) != FORMAT_VERSION) {
-      reader.reject("version", "another version", String.valueOf(FORMAT_VERSION));
+      reader.reject("version", "another", String.valueOf(FORMAT_VERSION));
     }
     List<Entry> entries = new ArrayList<>();
     Set<String> names = new HashSet<>();
--- a/src/main/java/fordridge/settings/ConfigReader.java
+++ b/src/main/java/fordridge/settings/ConfigReader.java
@@ -70,7 +70,7 @@
 
   /** Reads a string of at most {@code maxLength} characters. */
   public String string(String key, int maxLength) {
-    String value = read(key, "", "a string", () -> config.getString(key));
+    String value = read(key, "", "text", () -> config.getString(key));
     if (value.length() > maxLength) {
       reject(key, value.length() + " characters", "at most " + maxLength);
     }
