--- a/src/main/java/fordridge/etcd/EtcdAdmin.java
+++ b/src/main/java/fordridge/etcd/EtcdAdmin.java
@@ -258,9 +258,7 @@
   }
 
   private static String revisionOf(RangeResponse current) {
-    return current.getKvsCount() == 0
-        ? "no record"
-        : "revision " + current.getKvs(0).getModRevision();
+    return current.getKvsCount() == 0 ? "none" : "revision " + current.getKvs(0).getModRevision();
   }
 
   /** Tries the endpoints in order; if all fail, throws the error of the last one. */
--- a/src/main/java/fordridge/etcd/EtcdMachineList.java
+++ b/src/main/java/fordridge/etcd/EtcdMachineList.java
@@ -122,7 +122,7 @@
     } catch (InterruptedException e) {
       close();
       Thread.currentThread().interrupt();
-      throw new IOException("interrupted while waiting for the first machine list from etcd");
+      throw new IOException("interrupted");
     }
   }
 
--- a/src/main/java/fordridge/etcd/StoredJson.java
+++ b/src/main/java/fordridge/etcd/StoredJson.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * A record in the store as a flat JSON object, with typed access to its fields. Nested fields are
- * rejected.
+ * A record in the store as a flat JSON object, with typed access to its fields. Unknown fields are
+ * ignored, nested ones are rejected.
  */
 final class StoredJson {
   static final JsonFactory FACTORY = new JsonFactory();
