--- a/src/main/java/fordridge/cli/CheckConfigCommand.java
+++ b/src/main/java/fordridge/cli/CheckConfigCommand.java
@@ -1,7 +1,7 @@
 package fordridge.cli;
 
 import fordridge.discovery.MachineListFile;
-import fordridge.server.grpc.PlacerCommand;
+import fordridge.server.grpc.PlacerProcess;
 import fordridge.settings.DeploymentSettings;
 import java.io.File;
 import java.util.Map;
@@ -23,7 +23,7 @@
   @Override
   public Integer call() throws Exception {
     DeploymentSettings settings = Cli.readSettings(file, Map.of());
-    PlacerCommand.readShadowSettings(settings);
+    PlacerProcess.readShadowSettings(settings);
     File machineListFile = settings.machineListFile();
     if (machineListFile.isFile()) {
       int machines =
--- a/src/main/java/fordridge/cli/ConstraintsCommand.java
+++ b/src/main/java/fordridge/cli/ConstraintsCommand.java
@@ -3,7 +3,7 @@
 import fordridge.constraint.ConstraintParser;
 import fordridge.constraint.ConstraintSyntaxException;
 import fordridge.constraint.PlacementConstraint;
-import fordridge.server.grpc.PlacerCommand;
+import fordridge.server.grpc.PlacerProcess;
 import fordridge.settings.InvalidSettingsException;
 import java.io.File;
 import java.io.IOException;
@@ -35,7 +35,7 @@
     String text = Files.readString(file.toPath());
     List<PlacementConstraint> constraints = parse(text);
     if (config != null) {
-      constraints = PlacerCommand.readConstraints(text, Cli.readSettings(config, Map.of()));
+      constraints = PlacerProcess.readConstraints(text, Cli.readSettings(config, Map.of()));
     }
     System.out.print(ConstraintParser.format(constraints));
     return ExitCode.OK;
--- a/src/main/java/fordridge/cli/EmulatorCommand.java
+++ b/src/main/java/fordridge/cli/EmulatorCommand.java
@@ -3,7 +3,7 @@
 import fordridge.emulator.Scenario;
 import fordridge.emulator.WatchBenchmark;
 import fordridge.emulator.invariant.InvariantChecker;
-import fordridge.emulator.invariant.Verdict;
+import fordridge.emulator.invariant.InvariantReport;
 import fordridge.observability.Logging;
 import java.io.File;
 import java.io.OutputStream;
@@ -57,9 +57,9 @@
       System.out.println();
       System.out.print(outcome.table());
       System.out.println();
-      System.out.print(outcome.verdict().text());
-      System.out.println(outcome.costs());
-      return exitCode(outcome.verdict().kept());
+      System.out.print(outcome.report().text());
+      System.out.println(outcome.resourceUsage());
+      return exitCode(outcome.report().allInvariantsHold());
     }
   }
 
@@ -105,7 +105,7 @@
           "VMs/s", "asked", "in time", "p50 ms", "p99 ms", "rules, costs");
       for (double rate : rates) {
         Scenario.Outcome outcome = runAt(rate);
-        areInvariantsKept &= outcome.verdict().kept();
+        areInvariantsKept &= outcome.report().allInvariantsHold();
         printRow(rate, outcome);
         if (outcome.inTimeShare() < minInTimeShare) {
           break;
@@ -131,8 +131,8 @@
           100 * outcome.inTimeShare(),
           outcome.p50Millis(),
           outcome.p99Millis(),
-          outcome.verdict().kept() ? "kept" : "BROKEN",
-          outcome.costs());
+          outcome.report().allInvariantsHold() ? "kept" : "BROKEN",
+          outcome.resourceUsage());
     }
   }
 
@@ -147,9 +147,9 @@
 
     @Override
     public Integer call() throws Exception {
-      Verdict verdict = InvariantChecker.check(recording);
-      System.out.print(verdict.text());
-      return exitCode(verdict.kept());
+      InvariantReport report = InvariantChecker.check(recording);
+      System.out.print(report.text());
+      return exitCode(report.allInvariantsHold());
     }
   }
 
--- a/src/main/java/fordridge/cli/PlacerSubcommand.java
+++ b/src/main/java/fordridge/cli/PlacerSubcommand.java
@@ -1,7 +1,7 @@
 package fordridge.cli;
 
 import fordridge.observability.Logging;
-import fordridge.server.grpc.PlacerCommand;
+import fordridge.server.grpc.PlacerProcess;
 import fordridge.settings.DeploymentSettings;
 import java.io.File;
 import java.io.IOException;
@@ -41,7 +41,7 @@
   public Integer call() throws Exception {
     DeploymentSettings settings = Cli.readSettings(config, settingsFromOptions());
     Logging.configure(settings.logging().format(), settings.logging().level());
-    PlacerCommand schedulers = new PlacerCommand(settings);
+    PlacerProcess schedulers = new PlacerProcess(settings);
     if (portsFile != null) {
       writePorts(schedulers);
     }
@@ -55,7 +55,7 @@
   }
 
   /** Writes a temporary file and renames it, so that readers never see a partial file. */
-  private void writePorts(PlacerCommand schedulers) throws IOException {
+  private void writePorts(PlacerProcess schedulers) throws IOException {
     StringBuilder content = new StringBuilder();
     for (int i = 0; i < schedulers.instanceCount(); i++) {
       content.append(schedulers.name(i)).append(' ').append(schedulers.port(i)).append('\n');
@@ -69,7 +69,7 @@
   }
 
   /** Ends the process with the exit code of the graceful shutdown instead of that of the signal. */
-  private static void shutDownAndHalt(PlacerCommand schedulers) {
+  private static void shutDownAndHalt(PlacerProcess schedulers) {
     int exitCode;
     try {
       exitCode = schedulers.shutdown() ? ExitCode.OK : ExitCode.FAILED;
--- a/src/main/java/fordridge/constraint/ConstraintIndex.java
+++ b/src/main/java/fordridge/constraint/ConstraintIndex.java
@@ -24,7 +24,7 @@
  */
 public final class ConstraintIndex {
   /** Maximum number of improvable placements in a report to an operator. */
-  public static final int MAX_IMPROVABLE_REPORTED = 100;
+  public static final int MAX_REPORTED_IMPROVABLE_PLACEMENTS = 100;
 
   private final List<PlacementConstraint> constraints;
   private final int schedulerCount;
@@ -39,11 +39,11 @@
    * Creates an index without machines and VMs.
    *
    * @param schedulerCount the number of schedulers that share the cluster-wide limits
-   * @throws UnsatisfiableConstraintsException if a required cluster-wide limit is less than one VM
-   *     per scheduler
+   * @throws IndivisibleLimitException if a required cluster-wide limit is less than one VM per
+   *     scheduler
    */
   public ConstraintIndex(List<PlacementConstraint> constraints, int schedulerCount)
-      throws UnsatisfiableConstraintsException {
+      throws IndivisibleLimitException {
     this(constraints, schedulerCount, new MachineCatalog(), Optional.empty());
   }
 
@@ -52,7 +52,7 @@
       int schedulerCount,
       MachineCatalog catalog,
       Optional<PlacementTracker> previousTracker)
-      throws UnsatisfiableConstraintsException {
+      throws IndivisibleLimitException {
     for (PlacementConstraint constraint : constraints) {
       checkLimitCanBeShared(constraint, schedulerCount);
     }
@@ -71,12 +71,12 @@
   }
 
   private static void checkLimitCanBeShared(PlacementConstraint constraint, int schedulerCount)
-      throws UnsatisfiableConstraintsException {
+      throws IndivisibleLimitException {
     if (constraint.isRequired()
         && constraint.clause() instanceof PlacementConstraint.SpreadLimit limit
         && limit.clusterWide()
         && limit.limit() < schedulerCount) {
-      throw new UnsatisfiableConstraintsException(
+      throw new IndivisibleLimitException(
           "rule '"
               + constraint.name()
               + "' (line "
@@ -97,11 +97,11 @@
    * Creates an index of the same VMs and machines for another constraint set. This index remains
    * usable; the two share no mutable state.
    *
-   * @throws UnsatisfiableConstraintsException under the same condition as the constructor
+   * @throws IndivisibleLimitException under the same condition as the constructor
    */
   public ConstraintIndex withConstraints(
       List<PlacementConstraint> newConstraints, int newSchedulerCount)
-      throws UnsatisfiableConstraintsException {
+      throws IndivisibleLimitException {
     return new ConstraintIndex(
         newConstraints, newSchedulerCount, new MachineCatalog(catalog), Optional.of(tracker));
   }
@@ -201,7 +201,7 @@
    * regardless of what runs; empty if some machine satisfies all of them, or if no machine is
    * listed.
    */
-  public List<PlacementConstraint> findUnsatisfiableConstraints(VmAttributes vm) {
+  public List<PlacementConstraint> findConflictingLabelConstraints(VmAttributes vm) {
     if (constraints.isEmpty() || catalog.listedMachines().isEmpty()) {
       return List.of();
     }
@@ -301,7 +301,7 @@
    * Runs queries while one attempt is excluded from the counts; has no effect on the counts if the
    * attempt is not tracked.
    */
-  public void withoutAttempt(Object attempt, Runnable queries) {
+  public void runWithoutAttempt(Object attempt, Runnable queries) {
     tracker.runWithout(attempt, queries);
   }
 
--- a/src/main/java/fordridge/constraint/ConstraintValidator.java
+++ b/src/main/java/fordridge/constraint/ConstraintValidator.java
@@ -103,7 +103,7 @@
             .toList();
     try {
       return new ConstraintIndex(withoutLimits, 1);
-    } catch (UnsatisfiableConstraintsException e) {
+    } catch (IndivisibleLimitException e) {
       throw new IllegalStateException("constraint set without spread limits was rejected", e);
     }
   }
@@ -154,7 +154,7 @@
   }
 
   private void checkLabels(SampleVm vm) {
-    List<PlacementConstraint> conflicting = index.findUnsatisfiableConstraints(vm.attributes());
+    List<PlacementConstraint> conflicting = index.findConflictingLabelConstraints(vm.attributes());
     if (!conflicting.isEmpty()) {
       String description =
           conflicting.size() == 1 ? "is met by no machine" : "are met by no machine together";
--- a/src/main/java/fordridge/constraint/GroupPlan.java
+++ b/src/main/java/fordridge/constraint/GroupPlan.java
@@ -72,12 +72,12 @@
     return switch (result.verdict()) {
       case FEASIBLE -> fromSolution(result, withTotalCapacity, members);
       case INFEASIBLE -> rejected(result, members.size());
-      case UNKNOWN -> unconstrained(members.stream().map(GroupMember::id).toList());
+      case UNKNOWN -> withoutRestrictions(members.stream().map(GroupMember::id).toList());
     };
   }
 
   /** Creates a plan that restricts no member. */
-  public static GroupPlan unconstrained(List<String> placementOrder) {
+  public static GroupPlan withoutRestrictions(List<String> placementOrder) {
     return new GroupPlan(List.copyOf(placementOrder), Optional.empty(), Map.of(), Map.of());
   }
 
--- a/src/main/java/fordridge/constraint/UnsatisfiableConstraintsException.java
+++ b/src/main/java/fordridge/constraint/IndivisibleLimitException.java
@@ -4,10 +4,10 @@
  * Thrown for a constraint set with a cluster-wide limit that is too small to be divided among the
  * schedulers.
  */
-public final class UnsatisfiableConstraintsException extends Exception {
+public final class IndivisibleLimitException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  UnsatisfiableConstraintsException(String message) {
+  IndivisibleLimitException(String message) {
     super(message);
   }
 }
--- a/src/main/java/fordridge/emulator/ConstraintPublisher.java
+++ b/src/main/java/fordridge/emulator/ConstraintPublisher.java
@@ -4,12 +4,12 @@
 import fordridge.constraint.ConstraintParser;
 import fordridge.constraint.ConstraintSyntaxException;
 import fordridge.constraint.ConstraintValidator;
+import fordridge.constraint.IndivisibleLimitException;
 import fordridge.constraint.MachineTopology;
 import fordridge.constraint.PlacementConstraint;
-import fordridge.constraint.UnsatisfiableConstraintsException;
 import fordridge.emulator.machine.MachineSpec;
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import java.io.PrintStream;
 import java.time.Duration;
@@ -88,7 +88,7 @@
       new ConstraintIndex(constraints, plan.deployment().totalSchedulers());
       return ConstraintValidator.findConflicts(constraints, fleet, () -> isTimedOut(startNanos))
           .isEmpty();
-    } catch (ConstraintSyntaxException | UnsatisfiableConstraintsException e) {
+    } catch (ConstraintSyntaxException | IndivisibleLimitException e) {
       return false;
     }
   }
@@ -100,7 +100,7 @@
   /** Records a valid set of constraints, and the number of schedulers that enforce it. */
   static void recordConstraints(WireRecorder recorder, String text, int schedulers) {
     recorder
-        .event(Scenario.SOURCE, RecordKind.CONSTRAINTS_PUBLISHED)
+        .event(Scenario.SOURCE, RecordedEventKind.CONSTRAINTS_PUBLISHED)
         .with(RecordField.CONSTRAINT_TEXT, text)
         .with(RecordField.SCHEDULER_COUNT, schedulers)
         .write();
--- a/src/main/java/fordridge/emulator/EmulatedClient.java
+++ b/src/main/java/fordridge/emulator/EmulatedClient.java
@@ -1,7 +1,7 @@
 package fordridge.emulator;
 
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import fordridge.v1.Bound;
 import fordridge.v1.ClientMessage;
@@ -153,7 +153,7 @@
     for (String vm : List.copyOf(running.keySet())) {
       if (random.nextDouble() < share) {
         RequestedVm stopped = running.remove(vm);
-        recorder.event(name, RecordKind.REQUEST_WITHDRAWN).with(RecordField.VM, vm).write();
+        recorder.event(name, RecordedEventKind.REQUEST_WITHDRAWN).with(RecordField.VM, vm).write();
         stream.write(ClientMessage.newBuilder().setUnwant(Unwant.newBuilder().setVm(vm)));
         if (stopped.isIdempotent()) {
           requestAgain(stopped, 1 + random.nextInt((int) Math.max(1, within.toNanos() / 1000)));
@@ -194,7 +194,7 @@
     pending.put(vm.requestName(), vm);
     pendingCount = pending.size();
     recorder
-        .event(name, RecordKind.PLACEMENT_REQUESTED)
+        .event(name, RecordedEventKind.PLACEMENT_REQUESTED)
         .with(RecordField.VM, vm.requestName())
         .with(RecordField.WORKLOAD, vm.workload)
         .with(RecordField.PRIORITY_CLASS, vm.service.priorityClass().name())
@@ -239,7 +239,7 @@
       case ERRORED -> failed(message.getErrored().getVm());
       case ENDED -> ended(message.getEnded(), nowUs);
       case MOVED -> migrated(message.getMoved().getVm());
-      default -> recorder.event(name, RecordKind.UNKNOWN_MESSAGE).write();
+      default -> recorder.event(name, RecordedEventKind.UNKNOWN_MESSAGE).write();
     }
   }
 
@@ -251,7 +251,7 @@
 
   private void accepted(Bound bound, long nowUs) {
     recorder
-        .event(name, RecordKind.BOUND)
+        .event(name, RecordedEventKind.REQUEST_ACCEPTED)
         .with(RecordField.VM, bound.getVm())
         .with(RecordField.MACHINE, bound.getMachine())
         .write();
@@ -266,7 +266,10 @@
   }
 
   private void rejected(Denied denied) {
-    recorder.event(name, RecordKind.DENIED).with(RecordField.VM, denied.getVm()).write();
+    recorder
+        .event(name, RecordedEventKind.REQUEST_REJECTED)
+        .with(RecordField.VM, denied.getVm())
+        .write();
     removePending(denied.getVm())
         .ifPresent(
             vm -> {
@@ -280,7 +283,7 @@
    * idempotent must not run twice.
    */
   private void failed(String vmName) {
-    recorder.event(name, RecordKind.ERRORED).with(RecordField.VM, vmName).write();
+    recorder.event(name, RecordedEventKind.REQUEST_FAILED).with(RecordField.VM, vmName).write();
     removePending(vmName)
         .ifPresent(
             vm -> {
@@ -298,7 +301,7 @@
   private void ended(Ended ended, long nowUs) {
     Ended.How how = ended.getHow();
     recorder
-        .event(name, RecordKind.ENDED)
+        .event(name, RecordedEventKind.ENDED)
         .with(RecordField.VM, ended.getVm())
         .with(RecordField.END_KIND, how)
         .write();
@@ -315,7 +318,7 @@
   }
 
   private void migrated(String vmName) {
-    recorder.event(name, RecordKind.MOVED).with(RecordField.VM, vmName).write();
+    recorder.event(name, RecordedEventKind.VM_MIGRATED).with(RecordField.VM, vmName).write();
     RequestedVm vm = running.remove(vmName);
     if (vm != null) {
       requestAgain(vm, RETRY_AFTER_MIGRATION_US);
--- a/src/main/java/fordridge/emulator/EmulatedClientStream.java
+++ b/src/main/java/fordridge/emulator/EmulatedClientStream.java
@@ -1,7 +1,7 @@
 package fordridge.emulator;
 
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import fordridge.v1.Ack;
 import fordridge.v1.ClientMessage;
@@ -97,7 +97,7 @@
     }
     PlacingGrpc.newStub(channel.get()).place(new Responses(generation));
     recorder
-        .event(client, RecordKind.HELLO)
+        .event(client, RecordedEventKind.CLIENT_STREAM_OPENED)
         .with(RecordField.IS_RESUMING, !resumeToken.isEmpty())
         .with(RecordField.LAST_SEEN_SEQUENCE, lastReceivedSequence)
         .write();
@@ -167,7 +167,10 @@
 
   private void streamBroken(String reason) {
     dropStream();
-    recorder.event(client, RecordKind.STREAM_BROKEN).with(RecordField.REASON, reason).write();
+    recorder
+        .event(client, RecordedEventKind.CLIENT_STREAM_BROKEN)
+        .with(RecordField.REASON, reason)
+        .write();
     int delayMillis = MIN_RECONNECT_MILLIS + random.nextInt(RECONNECT_JITTER_MILLIS);
     Timers.schedule(loop, Duration.ofMillis(delayMillis), this::connect);
   }
@@ -185,7 +188,7 @@
     }
     ClientCallStreamObserver<ClientMessage> old = stream.get();
     dropStream();
-    recorder.event(client, RecordKind.CUT).write();
+    recorder.event(client, RecordedEventKind.STREAM_CUT).write();
     old.cancel("cut", null);
     Timers.schedule(loop, disconnectTime, this::connect);
   }
@@ -230,7 +233,7 @@
     if (message.getSeq() > 0) {
       if (message.getSeq() <= lastReceivedSequence) {
         recorder
-            .event(client, RecordKind.REPEATED)
+            .event(client, RecordedEventKind.SEQUENCE_REPEATED)
             .with(RecordField.SEQUENCE, message.getSeq())
             .write();
         return;
@@ -247,7 +250,7 @@
 
   private void welcomed(Welcome welcome) {
     recorder
-        .event(client, RecordKind.WELCOME)
+        .event(client, RecordedEventKind.SESSION_OPENED)
         .with(RecordField.IS_RESUMED, welcome.getResumed())
         .write();
     if (!welcome.getResumed()) {
--- a/src/main/java/fordridge/emulator/EmulatedEtcd.java
+++ b/src/main/java/fordridge/emulator/EmulatedEtcd.java
@@ -14,7 +14,7 @@
 /**
  * An emulated etcd on loopback that serves the published v3 API from memory: ranges, puts, deletes,
  * transactions, compaction, leases and watches. Faults can be injected. It emulates a cluster of a
- * single member, which is the leader unless {@link #leaderless} is in force. Thread-safe.
+ * single member, which is the leader unless {@link #setLeaderless} is in force. Thread-safe.
  */
 public final class EmulatedEtcd implements AutoCloseable {
   private static final int DEFAULT_PROGRESS_INTERVAL_MILLIS = 500;
@@ -158,14 +158,14 @@
   }
 
   /** The number of range requests received so far. */
-  public long ranges() {
+  public long rangeRequestCount() {
     synchronized (state) {
       return state.rangeRequestCount();
     }
   }
 
   /** The number of open watches. */
-  public int watchers() {
+  public int watchCount() {
     synchronized (state) {
       return state.watchCount();
     }
@@ -188,7 +188,7 @@
   // Faults.
 
   /** Compacts the history up to the latest revision. */
-  public void compactNow() {
+  public void compactToLatestRevision() {
     synchronized (state) {
       try {
         state.store().compact(state.store().revision());
@@ -201,7 +201,7 @@
   }
 
   /** Starts or stops withholding all events and progress notifications; watches stay open. */
-  public void silence(boolean on) {
+  public void setSilent(boolean on) {
     synchronized (state) {
       state.faults().isSilent = on;
       if (!on) {
@@ -214,7 +214,7 @@
    * Removes or restores the leader. Without one, requests fail with "no leader"; the open watches
    * end when it is removed.
    */
-  public void leaderless(boolean on) {
+  public void setLeaderless(boolean on) {
     synchronized (state) {
       state.faults().isLeaderless = on;
       if (on) {
@@ -224,9 +224,9 @@
   }
 
   /** Delays the responses to range requests. */
-  public void slowRanges(long millis) {
+  public void setRangeDelayMillis(long delayMillis) {
     synchronized (state) {
-      state.faults().rangeDelayMillis = millis;
+      state.faults().rangeDelayMillis = delayMillis;
     }
   }
 
@@ -244,7 +244,7 @@
    * @param resetAfter the number of responses with events after which a stream is reset; only the
    *     first stream to reach it is reset; 0 for none
    */
-  public void fragments(int maxEvents, int resetAfter) {
+  public void setFragmentation(int maxEvents, int resetAfter) {
     synchronized (state) {
       state.faults().maxEventsPerFragment = maxEvents;
       state.faults().fragmentsBeforeReset = resetAfter;
@@ -252,14 +252,14 @@
   }
 
   /** Starts or stops sending some earlier events again to watches with a start revision. */
-  public void repeat(boolean on) {
+  public void setRepeatsEvents(boolean on) {
     synchronized (state) {
       state.faults().repeatsEvents = on;
     }
   }
 
   /** Ends all watch streams with an error. */
-  public void cut() {
+  public void endWatchStreams() {
     synchronized (state) {
       state.endWatchStreams();
     }
--- a/src/main/java/fordridge/emulator/EmulatedMachine.java
+++ b/src/main/java/fordridge/emulator/EmulatedMachine.java
@@ -1,7 +1,7 @@
 package fordridge.emulator;
 
 import fordridge.emulator.machine.ActiveFaults;
-import fordridge.emulator.machine.AttemptId;
+import fordridge.emulator.machine.HostedAttemptId;
 import fordridge.emulator.machine.HostedVm;
 import fordridge.emulator.machine.MachineListener;
 import fordridge.emulator.machine.MachineModel;
@@ -10,7 +10,7 @@
 import fordridge.emulator.machine.UsageProfile;
 import fordridge.emulator.machine.VmEnd;
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import fordridge.v1.ClaimName;
 import fordridge.v1.FromMachine;
@@ -116,7 +116,7 @@
   }
 
   private void handleGreeting(String scheduler, ServerCallStreamObserver<FromMachine> stream) {
-    event(RecordKind.GREETING).with(RecordField.SCHEDULER, scheduler).write();
+    event(RecordedEventKind.MACHINE_STREAM_OPENED).with(RecordField.SCHEDULER, scheduler).write();
     if (socketFaults.isMute()) {
       return;
     }
@@ -126,9 +126,9 @@
       return;
     }
     Collection<HostedVm> vms = model.vmsOf(scheduler);
-    event(RecordKind.HOLDING)
+    event(RecordedEventKind.INVENTORY_REPORTED)
         .with(RecordField.SCHEDULER, scheduler)
-        .with(RecordField.HELD_COUNT, vms.size())
+        .with(RecordField.INVENTORY_SIZE, vms.size())
         .write();
     stream.onNext(MachineMessages.holding(name(), model.incarnation(), vms));
   }
@@ -141,18 +141,20 @@
   private void handleMessage(String scheduler, ToMachine message) {
     switch (message.getBodyCase()) {
       case OFFER -> handleOffer(scheduler, message.getOffer());
-      case CANCEL -> handleCancel(RecordKind.CANCEL, scheduler, message.getCancel().getClaim());
-      case STOP -> handleCancel(RecordKind.STOP, scheduler, message.getStop().getClaim());
+      case CANCEL ->
+          handleCancel(RecordedEventKind.CANCEL, scheduler, message.getCancel().getClaim());
+      case STOP -> handleCancel(RecordedEventKind.STOP, scheduler, message.getStop().getClaim());
       case PROBE -> {
-        event(RecordKind.PROBE).with(RecordField.SCHEDULER, scheduler).write();
-        model.probed(scheduler, message.getProbe().getNumber());
+        event(RecordedEventKind.PROBE).with(RecordField.SCHEDULER, scheduler).write();
+        model.probe(scheduler, message.getProbe().getNumber());
       }
-      default -> event(RecordKind.UNKNOWN_MESSAGE).with(RecordField.SCHEDULER, scheduler).write();
+      default ->
+          event(RecordedEventKind.UNKNOWN_MESSAGE).with(RecordField.SCHEDULER, scheduler).write();
     }
   }
 
   private void handleOffer(String scheduler, Offer offer) {
-    event(RecordKind.OFFER)
+    event(RecordedEventKind.OFFER)
         .with(RecordField.SCHEDULER, scheduler)
         .with(RecordField.VM, offer.getClaim().getVm())
         .with(RecordField.ATTEMPT_NUMBER, offer.getClaim().getNumber())
@@ -164,16 +166,16 @@
     if (socketFaults.consumeCut(CutPoint.AFTER_OFFER_READ, offer.getFlavour())) {
       streams.cut(scheduler);
     }
-    model.offered(MachineMessages.offeredVm(scheduler, offer, now()));
+    model.offer(MachineMessages.offeredVm(scheduler, offer, now()));
   }
 
-  private void handleCancel(RecordKind kind, String scheduler, ClaimName claim) {
+  private void handleCancel(RecordedEventKind kind, String scheduler, ClaimName claim) {
     event(kind)
         .with(RecordField.SCHEDULER, scheduler)
         .with(RecordField.VM, claim.getVm())
         .with(RecordField.ATTEMPT_NUMBER, claim.getNumber())
         .write();
-    model.cancelled(MachineMessages.attemptId(scheduler, claim));
+    model.cancel(MachineMessages.attemptId(scheduler, claim));
   }
 
   @Override
@@ -185,7 +187,7 @@
 
   @Override
   public void accepted(HostedVm vm) {
-    sendResponse(vm, MachineMessages.accepted(vm), event(RecordKind.ACCEPTED, vm));
+    sendResponse(vm, MachineMessages.accepted(vm), event(RecordedEventKind.ACCEPTED, vm));
   }
 
   @Override
@@ -193,7 +195,7 @@
     sendResponse(
         vm,
         MachineMessages.refused(vm, reason, model),
-        event(RecordKind.REFUSED, vm).with(RecordField.REASON, reason.text()));
+        event(RecordedEventKind.REFUSED, vm).with(RecordField.REASON, reason.text()));
   }
 
   @Override
@@ -206,7 +208,7 @@
     sendResponse(
         vm,
         MachineMessages.started(vm, model),
-        event(RecordKind.STARTED, vm).with(RecordField.PRIORITY_CLASS, priorityClass));
+        event(RecordedEventKind.STARTED, vm).with(RecordField.PRIORITY_CLASS, priorityClass));
     if (socketFaults.consumeCut(CutPoint.AFTER_START_RESPONSE, priorityClass)) {
       streams.cut(scheduler);
     }
@@ -217,7 +219,7 @@
     sendResponse(
         vm,
         MachineMessages.finished(vm, end, hasRun),
-        event(RecordKind.FINISHED, vm)
+        event(RecordedEventKind.FINISHED, vm)
             .with(RecordField.END_KIND, end.text())
             .with(RecordField.HAS_RUN, hasRun));
   }
@@ -242,7 +244,7 @@
   public void loadReport(String scheduler, long probeNumber) {
     Optional<ServerCallStreamObserver<FromMachine>> stream = streams.find(scheduler);
     boolean isLost = !isWritable(stream);
-    event(RecordKind.LOAD_REPORT)
+    event(RecordedEventKind.LOAD_REPORT)
         .with(RecordField.PROBE_NUMBER, probeNumber)
         .with(RecordField.SCHEDULER, scheduler)
         .with(RecordField.IS_LOST, isLost)
@@ -279,7 +281,7 @@
     if (socketFaults.isHung() || stream.isEmpty() || !stream.get().isReady()) {
       return;
     }
-    event(RecordKind.USAGE_NOTE)
+    event(RecordedEventKind.USAGE_NOTE)
         .with(RecordField.SCHEDULER, scheduler)
         .with(RecordField.VM, vm.offer().attempt().vm())
         .with(RecordField.SUBJECT, subject)
@@ -290,16 +292,16 @@
 
   @Override
   public void overloaded() {
-    event(RecordKind.MACHINE_OVERLOADED).write();
+    event(RecordedEventKind.MACHINE_OVERLOADED).write();
     loop.execute(() -> setVanished(true));
   }
 
-  private WireRecorder.Event event(RecordKind kind) {
+  private WireRecorder.Event event(RecordedEventKind kind) {
     return recorder.event(name(), kind);
   }
 
-  private WireRecorder.Event event(RecordKind kind, HostedVm vm) {
-    AttemptId attempt = vm.offer().attempt();
+  private WireRecorder.Event event(RecordedEventKind kind, HostedVm vm) {
+    HostedAttemptId attempt = vm.offer().attempt();
     return event(kind)
         .with(RecordField.VM, attempt.vm())
         .with(RecordField.ATTEMPT_NUMBER, attempt.number());
@@ -336,7 +338,7 @@
 
   /** Emulates the death of the process: streams are reset and all VMs are lost. */
   void crash() {
-    event(RecordKind.CRASH).write();
+    event(RecordedEventKind.CRASH).write();
     model.crash();
     streams.forgetAll();
     socketFaults.setHung(true);
@@ -346,7 +348,7 @@
   /** Starts the machine again at the same address without VMs; it warms up. */
   void restart() {
     if (socketFaults.isVanished()) {
-      event(RecordKind.CRASH).write();
+      event(RecordedEventKind.CRASH).write();
       server.kill();
       streams.forgetAll();
       server.forgetListener();
@@ -363,11 +365,11 @@
 
   private void recordStart() {
     MachineSpec.SlowStart slowStart = spec.slowStart();
-    event(RecordKind.MACHINE_STARTED)
-        .with(RecordField.MIN_WARMING_OFFERS, slowStart.minOffers())
+    event(RecordedEventKind.MACHINE_STARTED)
+        .with(RecordField.MIN_WARM_UP_OFFERS, slowStart.minOffers())
         .with(RecordField.OVERLOAD_MULTIPLE, slowStart.overloadMultiple())
         .with(RecordField.OVERLOAD_SPAN, slowStart.overloadSpan().toNanos() / 1000)
-        .with(RecordField.INITIAL_PACE, slowStart.initialPace())
+        .with(RecordField.INITIAL_SPEED_SHARE, slowStart.initialSpeedShare())
         .with(RecordField.WARM_UP, slowStart.warmUp().toNanos() / 1000)
         .with(RecordField.FULL_RATE, spec.startUp().startsPerSecond())
         .write();
@@ -383,7 +385,7 @@
               try {
                 server.restart();
               } catch (IOException e) {
-                event(RecordKind.MACHINE_START_FAILED)
+                event(RecordedEventKind.MACHINE_START_FAILED)
                     .with(RecordField.REASON, e.toString())
                     .write();
               } catch (InterruptedException e) {
--- a/src/main/java/fordridge/emulator/EmulatedRegistry.java
+++ b/src/main/java/fordridge/emulator/EmulatedRegistry.java
@@ -2,7 +2,7 @@
 
 import fordridge.emulator.RegisteredMachine.State;
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import java.io.IOException;
 import java.time.Duration;
@@ -96,7 +96,7 @@
       publish(due.machines());
     } catch (IOException e) {
       recorder
-          .event(SOURCE, RecordKind.FAULT_FAILED)
+          .event(SOURCE, RecordedEventKind.FAULT_FAILED)
           .with(RecordField.REASON, e.toString())
           .write();
     }
@@ -133,7 +133,7 @@
       String name = registered.machine().name();
       if (!state.equals(published.put(name, state))) {
         recorder
-            .event(SOURCE, RecordKind.MACHINE_LISTED)
+            .event(SOURCE, RecordedEventKind.MACHINE_LISTED)
             .with(RecordField.MACHINE, name)
             .with(RecordField.STATE, state.state().text())
             .with(RecordField.STARTED_AT, state.startedAt().map(Instant::toString).orElse(""))
--- a/src/main/java/fordridge/emulator/FaultTimeline.java
+++ b/src/main/java/fordridge/emulator/FaultTimeline.java
@@ -1,7 +1,7 @@
 package fordridge.emulator;
 
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import java.time.Duration;
 import java.util.concurrent.ScheduledExecutorService;
@@ -24,7 +24,7 @@
 
   void recordBegin(ScenarioFault fault) {
     recorder
-        .event(SOURCE, RecordKind.FAULT_BEGINS)
+        .event(SOURCE, RecordedEventKind.FAULT_BEGINS)
         .with(RecordField.FAULT_KIND, fault.kind().text())
         .write();
   }
@@ -34,7 +34,7 @@
       step.run();
     } catch (RuntimeException e) {
       recorder
-          .event(SOURCE, RecordKind.FAULT_FAILED)
+          .event(SOURCE, RecordedEventKind.FAULT_FAILED)
           .with(RecordField.REASON, e.toString())
           .write();
     }
--- a/src/main/java/fordridge/emulator/FleetBuilder.java
+++ b/src/main/java/fordridge/emulator/FleetBuilder.java
@@ -2,7 +2,7 @@
 
 import fordridge.emulator.machine.MachineSpec;
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import fordridge.model.MachineKind;
 import fordridge.settings.DeploymentSettings;
@@ -114,7 +114,7 @@
 
   private void record(MachineSpec spec) {
     recorder
-        .event(spec.name(), RecordKind.MACHINE)
+        .event(spec.name(), RecordedEventKind.MACHINE)
         .with(RecordField.MACHINE_KIND, spec.labels().kind())
         .with(RecordField.ZONE, spec.labels().zone())
         .with(RecordField.CELL, spec.labels().cell())
--- a/src/main/java/fordridge/emulator/FleetFaults.java
+++ b/src/main/java/fordridge/emulator/FleetFaults.java
@@ -1,7 +1,7 @@
 package fordridge.emulator;
 
 import fordridge.emulator.RegisteredMachine.State;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import java.time.Duration;
 import java.time.Instant;
@@ -53,7 +53,7 @@
     for (EmulatedMachine machine : machines) {
       machine.execute(
           () -> {
-            recorder.event(machine.name(), RecordKind.VANISH).write();
+            recorder.event(machine.name(), RecordedEventKind.VANISH).write();
             machine.setVanished(true);
           });
       timeline.runAfter(
@@ -88,7 +88,7 @@
       peers.registry().setState(machine, State.DRAINING);
       machine.execute(
           () -> {
-            recorder.event(machine.name(), RecordKind.DRAIN).write();
+            recorder.event(machine.name(), RecordedEventKind.DRAIN).write();
             machine.model().drain(notice);
           });
       timeline.runAfter(notice, () -> shutDown(machine, restarts));
--- a/src/main/java/fordridge/emulator/InProcessSchedulers.java
+++ b/src/main/java/fordridge/emulator/InProcessSchedulers.java
@@ -1,18 +1,18 @@
 package fordridge.emulator;
 
 import fordridge.observability.Metrics;
-import fordridge.server.grpc.PlacerCommand;
+import fordridge.server.grpc.PlacerProcess;
 import fordridge.settings.DeploymentSettings;
 import fordridge.settings.InvalidSettingsException;
 import java.io.IOException;
 
 /** Runs the schedulers in the emulator's own process. */
 final class InProcessSchedulers implements SchedulerFleet {
-  private final PlacerCommand command;
+  private final PlacerProcess command;
   private boolean isStopped;
 
   InProcessSchedulers(DeploymentSettings settings) throws IOException, InvalidSettingsException {
-    command = new PlacerCommand(settings);
+    command = new PlacerProcess(settings);
   }
 
   @Override
--- a/src/main/java/fordridge/emulator/MachineMessages.java
+++ b/src/main/java/fordridge/emulator/MachineMessages.java
@@ -1,6 +1,6 @@
 package fordridge.emulator;
 
-import fordridge.emulator.machine.AttemptId;
+import fordridge.emulator.machine.HostedAttemptId;
 import fordridge.emulator.machine.HostedVm;
 import fordridge.emulator.machine.MachineModel;
 import fordridge.emulator.machine.RefusalReason;
@@ -25,8 +25,8 @@
 final class MachineMessages {
   private MachineMessages() {}
 
-  static AttemptId attemptId(String scheduler, ClaimName name) {
-    return new AttemptId(scheduler, name.getVm(), name.getNumber());
+  static HostedAttemptId attemptId(String scheduler, ClaimName name) {
+    return new HostedAttemptId(scheduler, name.getVm(), name.getNumber());
   }
 
   /** Creates a VM from an offer that was read at the given time of the machine. */
@@ -49,7 +49,7 @@
   }
 
   private static ClaimName claimName(HostedVm vm) {
-    AttemptId attempt = vm.offer().attempt();
+    HostedAttemptId attempt = vm.offer().attempt();
     return ClaimName.newBuilder().setVm(attempt.vm()).setNumber(attempt.number()).build();
   }
 
--- a/src/main/java/fordridge/emulator/Scenario.java
+++ b/src/main/java/fordridge/emulator/Scenario.java
@@ -4,9 +4,9 @@
 import com.typesafe.config.ConfigRenderOptions;
 import com.typesafe.config.ConfigValueFactory;
 import fordridge.emulator.invariant.InvariantChecker;
-import fordridge.emulator.invariant.Verdict;
+import fordridge.emulator.invariant.InvariantReport;
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import fordridge.settings.DeploymentSettings;
 import fordridge.settings.InvalidSettingsException;
@@ -48,16 +48,16 @@
    * @param p50Millis median time from the first request for a VM until it ran
    * @param p99Millis the same, 99th percentile
    * @param requested number of VMs that were requested
-   * @param costs the schedulers' resource usage, possibly several lines
+   * @param resourceUsage the schedulers' resource usage, possibly several lines
    */
   public record Outcome(
       String table,
-      Verdict verdict,
+      InvariantReport report,
       double inTimeShare,
       double p50Millis,
       double p99Millis,
       long requested,
-      String costs) {}
+      String resourceUsage) {}
 
   private final ScenarioPlan plan;
   private final File folder;
@@ -160,7 +160,7 @@
         String resourceUsage = applyLoad(recorder, schedulers, clients);
         boolean isAnswered = schedulers.stop();
         recorder
-            .event(SOURCE, RecordKind.SCENARIO_ENDS)
+            .event(SOURCE, RecordedEventKind.SCENARIO_ENDS)
             .with(RecordField.IS_ANSWERED, isAnswered)
             .write();
         Thread.sleep(LAST_ARRIVALS_WAIT.toMillis());
@@ -174,14 +174,14 @@
   private void recordSettings(WireRecorder recorder) {
     DeploymentSettings settings = plan.deployment();
     recorder
-        .event(SOURCE, RecordKind.SETTINGS)
+        .event(SOURCE, RecordedEventKind.SETTINGS)
         .with(RecordField.DRAIN_GRACE, micros(settings.cluster().drainGracePeriod()))
         .with(RecordField.POLL_INTERVAL, micros(settings.machineList().pollInterval()))
         .with(RecordField.ACCEPTANCE_SIGNAL, settings.cluster().acceptancePoint().configWord())
         .write();
     for (PriorityClassSettings priorityClass : settings.priorityClasses().values()) {
       recorder
-          .event(SOURCE, RecordKind.PRIORITY_CLASS)
+          .event(SOURCE, RecordedEventKind.PRIORITY_CLASS)
           .with(RecordField.NAME, priorityClass.name())
           .with(RecordField.RETRY_SAFETY, priorityClass.retrySafety().configWord())
           .with(RecordField.DEDUPLICATION_DOMAIN, priorityClass.deduplicationScope().configWord())
--- a/src/main/java/fordridge/emulator/SchedulerStreams.java
+++ b/src/main/java/fordridge/emulator/SchedulerStreams.java
@@ -1,7 +1,7 @@
 package fordridge.emulator;
 
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import fordridge.v1.FromMachine;
 import io.grpc.Status;
@@ -30,7 +30,7 @@
   void closed(String scheduler, ServerCallStreamObserver<FromMachine> stream) {
     byScheduler.remove(scheduler, stream);
     recorder
-        .event(machine, RecordKind.STREAM_CLOSED)
+        .event(machine, RecordedEventKind.STREAM_CLOSED)
         .with(RecordField.SCHEDULER, scheduler)
         .write();
   }
@@ -43,7 +43,10 @@
   void cut(String scheduler) {
     ServerCallStreamObserver<FromMachine> stream = byScheduler.remove(scheduler);
     if (stream != null) {
-      recorder.event(machine, RecordKind.CUT).with(RecordField.SCHEDULER, scheduler).write();
+      recorder
+          .event(machine, RecordedEventKind.STREAM_CUT)
+          .with(RecordField.SCHEDULER, scheduler)
+          .write();
       stream.onError(Status.UNAVAILABLE.withDescription("cut").asRuntimeException());
     }
   }
--- a/src/main/java/fordridge/emulator/StallRecorder.java
+++ b/src/main/java/fordridge/emulator/StallRecorder.java
@@ -1,7 +1,7 @@
 package fordridge.emulator;
 
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import java.time.Duration;
 import java.util.concurrent.ScheduledExecutorService;
@@ -36,7 +36,7 @@
     Duration stall = Duration.ofNanos(System.nanoTime() - dueNanos);
     if (stall.compareTo(THRESHOLD) > 0) {
       recorder
-          .event(Scenario.SOURCE, RecordKind.EMULATOR_STALLED)
+          .event(Scenario.SOURCE, RecordedEventKind.EMULATOR_STALLED)
           .with(RecordField.STALL, stall.toNanos() / 1000)
           .write();
     }
--- a/src/main/java/fordridge/emulator/StoreChangeRecorder.java
+++ b/src/main/java/fordridge/emulator/StoreChangeRecorder.java
@@ -1,7 +1,7 @@
 package fordridge.emulator;
 
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
+import fordridge.emulator.record.RecordedEventKind;
 import fordridge.emulator.record.WireRecorder;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -41,7 +41,10 @@
   @Override
   public void snapshotSent(String scheduler) {
     closedKeysByScheduler.remove(scheduler);
-    recorder.event(SOURCE, RecordKind.SNAPSHOT_SENT).with(RecordField.SCHEDULER, scheduler).write();
+    recorder
+        .event(SOURCE, RecordedEventKind.SNAPSHOT_SENT)
+        .with(RecordField.SCHEDULER, scheduler)
+        .write();
   }
 
   @Override
@@ -56,11 +59,11 @@
     boolean isChanged = isClosed ? closedKeys.add(key) : closedKeys.remove(key);
     if (isChanged) {
       recorder
-          .event(SOURCE, RecordKind.CHANGE_SENT)
+          .event(SOURCE, RecordedEventKind.CHANGE_SENT)
           .with(RecordField.SCHEDULER, scheduler)
           .with(RecordField.MACHINE, key.substring(key.lastIndexOf('/') + 1))
           .with(RecordField.SUBJECT, subject.get().text())
-          .with(RecordField.IS_CLOSED, isClosed)
+          .with(RecordField.IS_UNAVAILABLE, isClosed)
           .write();
     }
   }
--- a/src/main/java/fordridge/emulator/StoreFaults.java
+++ b/src/main/java/fordridge/emulator/StoreFaults.java
@@ -24,11 +24,11 @@
                             + fault.kind().text()
                             + " needs registry.in = etcd, but the scenario has registry.in = file"));
     switch (fault.kind()) {
-      case ETCD_COMPACT -> etcd.compactNow();
+      case ETCD_COMPACT -> etcd.compactToLatestRevision();
       case ETCD_CUT -> loseLeader(etcd, fault);
       case ETCD_SILENCE -> {
-        etcd.silence(true);
-        timeline.runAfter(fault.length(), () -> etcd.silence(false));
+        etcd.setSilent(true);
+        timeline.runAfter(fault.length(), () -> etcd.setSilent(false));
       }
       case ETCD_DELAY -> {
         etcd.setEventDelayMillis((long) fault.size());
@@ -51,12 +51,12 @@
    * Removes the leader for the fault's length, then compacts the history and restores the leader.
    */
   private void loseLeader(EmulatedEtcd etcd, ScenarioFault fault) {
-    etcd.leaderless(true);
+    etcd.setLeaderless(true);
     timeline.runAfter(
         fault.length(),
         () -> {
-          etcd.compactNow();
-          etcd.leaderless(false);
+          etcd.compactToLatestRevision();
+          etcd.setLeaderless(false);
         });
   }
 }
--- a/src/main/java/fordridge/emulator/WatchBenchmark.java
+++ b/src/main/java/fordridge/emulator/WatchBenchmark.java
@@ -194,11 +194,11 @@
    */
   private double measureResync() throws InterruptedException {
     long[] resyncsBefore = lists.stream().mapToLong(EtcdMachineList::snapshotCount).toArray();
-    etcd.leaderless(true);
+    etcd.setLeaderless(true);
     etcd.put(machineKey(machines - 1), machineRecord(machines - 1, 3));
-    etcd.compactNow();
+    etcd.compactToLatestRevision();
     long startNanos = System.nanoTime();
-    etcd.leaderless(false);
+    etcd.setLeaderless(false);
     for (int i = 0; i < lists.size(); i++) {
       EtcdMachineList list = lists.get(i);
       long before = resyncsBefore[i];
--- a/src/main/java/fordridge/emulator/invariant/ConstraintInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/ConstraintInvariant.java
@@ -41,7 +41,7 @@
             attempt.priorityClass,
             attempt.service);
     placements.put(attempt, placement);
-    findings.increment(Figure.OFFERS_CHECKED_AGAINST_CONSTRAINTS);
+    findings.increment(Statistic.OFFERS_CHECKED_AGAINST_CONSTRAINTS);
     checker
         .checkOffer(attempt.scheduler, placement, attempt.offeredAtUs)
         .ifPresent(
--- a/src/main/java/fordridge/emulator/invariant/DrainInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/DrainInvariant.java
@@ -44,7 +44,7 @@
             event.text(RecordField.SCHEDULER), scheduler -> new HashMap<>());
     StoreRecord changed =
         new StoreRecord(event.text(RecordField.SUBJECT), event.text(RecordField.MACHINE));
-    if (event.isTrue(RecordField.IS_CLOSED)) {
+    if (event.isTrue(RecordField.IS_UNAVAILABLE)) {
       unavailable.putIfAbsent(changed, event.timeUs());
     } else {
       unavailable.remove(changed);
@@ -71,7 +71,7 @@
             drainingSinceUs == null ? Long.MAX_VALUE : drainingSinceUs,
             removedSinceUs == null ? Long.MAX_VALUE : removedSinceUs);
     long delayUs = attempt.offeredAtUs - sinceUs;
-    findings.recordMaximum(Figure.MAX_OFFER_DELAY_AFTER_DRAIN_SENT_US, delayUs);
+    findings.recordMaximum(Statistic.MAX_OFFER_DELAY_AFTER_DRAIN_SENT_US, delayUs);
     if (delayUs > state.drainGraceUs()) {
       findings.addViolation(
           DRAIN_RESPECTED, describe(attempt, delayUs) + " ms after the change was sent");
@@ -85,7 +85,7 @@
         .ifPresent(
             sinceUs -> {
               long delayUs = attempt.offeredAtUs - sinceUs;
-              findings.recordMaximum(Figure.MAX_OFFER_DELAY_AFTER_DRAIN_PUBLISHED_US, delayUs);
+              findings.recordMaximum(Statistic.MAX_OFFER_DELAY_AFTER_DRAIN_PUBLISHED_US, delayUs);
               long allowedUs =
                   state.drainGraceUs() + state.pollIntervalUs() + ObservedState.TOLERANCE_US;
               if (delayUs > allowedUs) {
--- a/src/main/java/fordridge/emulator/invariant/DuplicateEffectInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/DuplicateEffectInvariant.java
@@ -118,14 +118,14 @@
     boolean isNonIdempotent =
         settings.isPresent() && settings.get().retrySafety() == RecordedRetrySafety.NON_IDEMPOTENT;
     if (isNonIdempotent) {
-      findings.increment(Figure.NON_IDEMPOTENT_STARTS);
+      findings.increment(Statistic.NON_IDEMPOTENT_STARTS);
       if (starts > 1) {
         findings.addViolation(
             NO_DUPLICATE_EFFECT,
             "non-idempotent " + attempt.vm + " was started " + starts + " times");
       }
     } else if (starts > 1) {
-      findings.increment(Figure.REPEATED_IDEMPOTENT_STARTS);
+      findings.increment(Statistic.REPEATED_IDEMPOTENT_STARTS);
     }
   }
 
--- a/src/main/java/fordridge/emulator/invariant/Findings.java
+++ b/src/main/java/fordridge/emulator/invariant/Findings.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Collects violations and figures while a recording is read. */
+/** Collects violations and statistics while a recording is read. */
 final class Findings {
   private final List<Violation> violations = new ArrayList<>();
-  private final Map<Figure, Long> figures = new LinkedHashMap<>();
+  private final Map<Statistic, Long> statistics = new LinkedHashMap<>();
   private long line;
 
   /**
@@ -30,19 +30,19 @@
     violations.add(new Violation(invariant, lineNumber, description));
   }
 
-  void increment(Figure figure) {
-    figures.merge(figure, 1L, Long::sum);
+  void increment(Statistic statistic) {
+    statistics.merge(statistic, 1L, Long::sum);
   }
 
-  void recordMaximum(Figure figure, long value) {
-    figures.merge(figure, value, Math::max);
+  void recordMaximum(Statistic statistic, long value) {
+    statistics.merge(statistic, value, Math::max);
   }
 
-  void set(Figure figure, long value) {
-    figures.put(figure, value);
+  void set(Statistic statistic, long value) {
+    statistics.put(statistic, value);
   }
 
-  Verdict verdict() {
-    return new Verdict(violations, figures);
+  InvariantReport report() {
+    return new InvariantReport(violations, statistics);
   }
 }
--- a/src/main/java/fordridge/emulator/invariant/InvariantChecker.java
+++ b/src/main/java/fordridge/emulator/invariant/InvariantChecker.java
@@ -1,8 +1,8 @@
 package fordridge.emulator.invariant;
 
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
 import fordridge.emulator.record.RecordedEvent;
+import fordridge.emulator.record.RecordedEventKind;
 import java.io.BufferedReader;
 import java.io.File;
 import java.io.IOException;
@@ -28,7 +28,7 @@
   private InvariantChecker() {}
 
   /** Reads a recording and checks the invariants. */
-  public static Verdict check(File recording) throws IOException {
+  public static InvariantReport check(File recording) throws IOException {
     InvariantChecker checker = new InvariantChecker();
     try (BufferedReader in = Files.newBufferedReader(recording.toPath())) {
       long lineNumber = 0;
@@ -42,10 +42,10 @@
       }
     }
     checker.finish();
-    return checker.findings.verdict();
+    return checker.findings.report();
   }
 
-  private void observe(RecordedEvent event, RecordKind kind) {
+  private void observe(RecordedEvent event, RecordedEventKind kind) {
     switch (kind) {
       case SETTINGS, PRIORITY_CLASS, EMULATOR_STALLED, CONSTRAINTS_PUBLISHED ->
           observeEmulator(event, kind);
@@ -58,23 +58,23 @@
           CRASH ->
           observeFleet(event, kind);
       case OFFER, CANCEL, ACCEPTED, REFUSED, STARTED, FINISHED -> observeAttempt(event, kind);
-      case CUT, STREAM_CLOSED -> {
+      case STREAM_CUT, STREAM_CLOSED -> {
         if (state.isMachine(event.source())) {
           connectionBroken(event);
         } else {
           responses.clientDisconnected(event);
         }
       }
-      case STREAM_BROKEN -> responses.clientDisconnected(event);
-      case WELCOME,
+      case CLIENT_STREAM_BROKEN -> responses.clientDisconnected(event);
+      case SESSION_OPENED,
           PLACEMENT_REQUESTED,
           REQUEST_WITHDRAWN,
-          BOUND,
-          DENIED,
-          ERRORED,
+          REQUEST_ACCEPTED,
+          REQUEST_REJECTED,
+          REQUEST_FAILED,
           ENDED,
-          MOVED,
-          REPEATED ->
+          VM_MIGRATED,
+          SEQUENCE_REPEATED ->
           observeClient(event, kind);
       default -> {
         // Events of the other kinds are recorded for human readers only.
@@ -82,20 +82,20 @@
     }
   }
 
-  private void observeEmulator(RecordedEvent event, RecordKind kind) {
+  private void observeEmulator(RecordedEvent event, RecordedEventKind kind) {
     switch (kind) {
       case SETTINGS -> state.settingsRecorded(event);
       case PRIORITY_CLASS -> state.priorityClassRecorded(event);
       case EMULATOR_STALLED -> {
         state.emulatorStalled(event);
-        findings.recordMaximum(Figure.LONGEST_EMULATOR_STALL_US, event.whole(RecordField.STALL));
+        findings.recordMaximum(Statistic.LONGEST_EMULATOR_STALL_US, event.whole(RecordField.STALL));
       }
       case CONSTRAINTS_PUBLISHED -> constraints.constraintsPublished(event);
       default -> throw unexpected(kind);
     }
   }
 
-  private void observeFleet(RecordedEvent event, RecordKind kind) {
+  private void observeFleet(RecordedEvent event, RecordedEventKind kind) {
     switch (kind) {
       case MACHINE -> state.machine(event.source()).setLabels(event);
       case MACHINE_LISTED ->
@@ -111,24 +111,24 @@
     }
   }
 
-  private void observeClient(RecordedEvent event, RecordKind kind) {
+  private void observeClient(RecordedEvent event, RecordedEventKind kind) {
     switch (kind) {
-      case WELCOME -> responses.clientConnected(event);
+      case SESSION_OPENED -> responses.clientConnected(event);
       case PLACEMENT_REQUESTED -> responses.placementRequested(event);
       case REQUEST_WITHDRAWN -> responses.requestWithdrawn(event);
-      case BOUND, ERRORED -> responses.responded(event, kind);
-      case DENIED ->
+      case REQUEST_ACCEPTED, REQUEST_FAILED -> responses.responded(event, kind);
+      case REQUEST_REJECTED ->
           responses
               .responded(event, kind)
               .ifPresent(priorityClass -> duplicates.requestRejected(event, priorityClass));
-      case ENDED, MOVED -> responses.terminated(event);
-      case REPEATED -> responses.sequenceRepeated(event);
+      case ENDED, VM_MIGRATED -> responses.terminated(event);
+      case SEQUENCE_REPEATED -> responses.sequenceRepeated(event);
       default -> throw unexpected(kind);
     }
   }
 
-  private void observeAttempt(RecordedEvent event, RecordKind kind) {
-    if (kind == RecordKind.OFFER) {
+  private void observeAttempt(RecordedEvent event, RecordedEventKind kind) {
+    if (kind == RecordedEventKind.OFFER) {
       attemptOffered(new ObservedAttempt(event));
       return;
     }
@@ -217,9 +217,10 @@
     duplicates.finish();
     responses.finish();
     findings.set(
-        Figure.ATTEMPTS, state.allAttempts().stream().mapToLong(attempts -> attempts.size()).sum());
+        Statistic.ATTEMPTS,
+        state.allAttempts().stream().mapToLong(attempts -> attempts.size()).sum());
     findings.set(
-        Figure.ATTEMPTS_STARTED,
+        Statistic.ATTEMPTS_STARTED,
         state.allAttempts().stream()
             .flatMap(attempts -> attempts.stream())
             .filter(ObservedAttempt::isStarted)
@@ -230,7 +231,7 @@
     return !event.isTrue(RecordField.IS_LOST);
   }
 
-  private static IllegalArgumentException unexpected(RecordKind kind) {
+  private static IllegalArgumentException unexpected(RecordedEventKind kind) {
     return new IllegalArgumentException("unexpected kind of event: " + kind);
   }
 }
--- a/src/main/java/fordridge/emulator/invariant/Verdict.java
+++ b/src/main/java/fordridge/emulator/invariant/InvariantReport.java
@@ -4,16 +4,17 @@
 import java.util.Map;
 
 /** The result of checking a recording. */
-public record Verdict(List<Violation> violations, Map<Figure, Long> figures) {
+public record InvariantReport(List<Violation> violations, Map<Statistic, Long> statistics) {
   private static final int MAX_VIOLATIONS_SHOWN = 5;
 
   /** Whether the recording violates no invariant. */
-  public boolean kept() {
+  public boolean allInvariantsHold() {
     return violations.isEmpty();
   }
 
   /**
-   * Formats a report of several lines: each invariant with its first violations, then the figures.
+   * Formats a report of several lines: each invariant with its first violations, then the
+   * statistics.
    */
   public String text() {
     StringBuilder text = new StringBuilder();
@@ -22,14 +23,14 @@
         appendInvariant(text, invariant);
       }
     }
-    figures.forEach(
-        (figure, value) -> text.append(String.format("  %-52s %d%n", figure.label(), value)));
+    statistics.forEach(
+        (statistic, value) -> text.append(String.format("  %-52s %d%n", statistic.label(), value)));
     return text.toString();
   }
 
   private boolean isChecked(Invariant invariant) {
     return invariant != Invariant.TENANT_CONSTRAINTS_RESPECTED
-        || figures.containsKey(Figure.OFFERS_CHECKED_AGAINST_CONSTRAINTS);
+        || statistics.containsKey(Statistic.OFFERS_CHECKED_AGAINST_CONSTRAINTS);
   }
 
   private void appendInvariant(StringBuilder text, Invariant invariant) {
--- a/src/main/java/fordridge/emulator/invariant/ObservedMachine.java
+++ b/src/main/java/fordridge/emulator/invariant/ObservedMachine.java
@@ -55,10 +55,10 @@
   /** Records that the machine started and begins to warm up. */
   void started(RecordedEvent event) {
     startedAtUs = OptionalLong.of(event.timeUs());
-    minWarmUpOffers = event.real(RecordField.MIN_WARMING_OFFERS);
+    minWarmUpOffers = event.real(RecordField.MIN_WARM_UP_OFFERS);
     overloadMultiple = event.real(RecordField.OVERLOAD_MULTIPLE);
     overloadSpanUs = event.whole(RecordField.OVERLOAD_SPAN);
-    initialSpeedShare = event.real(RecordField.INITIAL_PACE);
+    initialSpeedShare = event.real(RecordField.INITIAL_SPEED_SHARE);
     warmUpUs = event.whole(RecordField.WARM_UP);
     fullRatePerSecond = event.real(RecordField.FULL_RATE);
     warmUpOffersUs.clear();
--- a/src/main/java/fordridge/emulator/invariant/RecordedPriorityClass.java
+++ b/src/main/java/fordridge/emulator/invariant/RecordedPriorityClass.java
@@ -15,7 +15,7 @@
     RecordedRetrySafety retrySafety,
     FailureDomain deduplicationDomain,
     long deduplicationWindowUs,
-    FailureDomain spreadDomain,
+    FailureDomain spreadScope,
     long spreadLimit) {
 
   static RecordedPriorityClass of(RecordedEvent event) {
@@ -28,7 +28,7 @@
   }
 
   boolean isSpread() {
-    return spreadDomain != FailureDomain.OFF;
+    return spreadScope != FailureDomain.OFF;
   }
 
   /** Whether a VM whose start has an unknown outcome may safely be started again on any machine. */
--- a/src/main/java/fordridge/emulator/invariant/ResponseInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/ResponseInvariant.java
@@ -3,8 +3,8 @@
 import static fordridge.emulator.invariant.Invariant.TIMELY_RESPONSE;
 
 import fordridge.emulator.record.RecordField;
-import fordridge.emulator.record.RecordKind;
 import fordridge.emulator.record.RecordedEvent;
+import fordridge.emulator.record.RecordedEventKind;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -21,7 +21,7 @@
   private static final class ObservedRequest {
     final String priorityClass;
     final long deadlineUs;
-    Optional<RecordKind> response = Optional.empty();
+    Optional<RecordedEventKind> response = Optional.empty();
     boolean hasEnded;
     boolean isWithdrawn;
 
@@ -57,7 +57,7 @@
   }
 
   void placementRequested(RecordedEvent event) {
-    findings.increment(Figure.REQUESTS);
+    findings.increment(Statistic.REQUESTS);
     requestsByVm.put(
         qualifiedVm(event),
         new ObservedRequest(
@@ -89,10 +89,10 @@
    * Records a final response, and returns the priority class of the request if it is the first
    * response to it.
    */
-  Optional<String> responded(RecordedEvent event, RecordKind response) {
+  Optional<String> responded(RecordedEvent event, RecordedEventKind response) {
     String vm = qualifiedVm(event);
     ObservedRequest request = requestsByVm.get(vm);
-    findings.increment(figureOf(response));
+    findings.increment(statisticOf(response));
     if (request == null) {
       findings.addViolation(
           TIMELY_RESPONSE, describe(response) + " for " + vm + ", which was not requested");
@@ -105,28 +105,29 @@
       return Optional.empty();
     }
     request.response = Optional.of(response);
-    request.hasEnded = response != RecordKind.BOUND;
+    request.hasEnded = response != RecordedEventKind.REQUEST_ACCEPTED;
     checkInTime(event, response, request);
     return Optional.of(request.priorityClass);
   }
 
-  private static Figure figureOf(RecordKind response) {
+  private static Statistic statisticOf(RecordedEventKind response) {
     return switch (response) {
-      case BOUND -> Figure.RESPONSES_ACCEPTED;
-      case DENIED -> Figure.RESPONSES_REJECTED;
-      default -> Figure.RESPONSES_FAILED;
+      case REQUEST_ACCEPTED -> Statistic.RESPONSES_ACCEPTED;
+      case REQUEST_REJECTED -> Statistic.RESPONSES_REJECTED;
+      default -> Statistic.RESPONSES_FAILED;
     };
   }
 
-  private static String describe(RecordKind response) {
+  private static String describe(RecordedEventKind response) {
     return switch (response) {
-      case BOUND -> "accepted";
-      case DENIED -> "rejected";
+      case REQUEST_ACCEPTED -> "accepted";
+      case REQUEST_REJECTED -> "rejected";
       default -> "failed";
     };
   }
 
-  private void checkInTime(RecordedEvent event, RecordKind response, ObservedRequest request) {
+  private void checkInTime(
+      RecordedEvent event, RecordedEventKind response, ObservedRequest request) {
     long nowUs = event.timeUs();
     boolean isLate = nowUs > request.deadlineUs + state.toleranceUs(nowUs);
     if (isLate && !request.isWithdrawn && !wasDisconnected(event.source(), request.deadlineUs)) {
@@ -150,7 +151,8 @@
   void terminated(RecordedEvent event) {
     ObservedRequest request = requestsByVm.get(qualifiedVm(event));
     String vm = event.text(RecordField.VM);
-    if (request == null || !request.response.equals(Optional.of(RecordKind.BOUND))) {
+    if (request == null
+        || !request.response.equals(Optional.of(RecordedEventKind.REQUEST_ACCEPTED))) {
       findings.addViolation(
           TIMELY_RESPONSE, "termination notice without an accepted request for " + vm);
     } else if (request.hasEnded) {
--- a/src/main/java/fordridge/emulator/invariant/SlowStartInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/SlowStartInvariant.java
@@ -25,7 +25,7 @@
     }
     int offers = machine.addWarmUpOffer(nowUs);
     double limit = machine.warmUpOfferLimit(nowUs);
-    findings.recordMaximum(Figure.MAX_OFFERS_DURING_WARM_UP, offers);
+    findings.recordMaximum(Statistic.MAX_OFFERS_DURING_WARM_UP, offers);
     if (offers > limit) {
       findings.addViolation(
           SLOW_START_RESPECTED,
--- a/src/main/java/fordridge/emulator/invariant/SpreadInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/SpreadInvariant.java
@@ -27,9 +27,9 @@
     if (settings.isEmpty()) {
       return;
     }
-    String domain = settings.get().spreadDomain().domainName(state.machine(attempt.machine));
+    String domain = settings.get().spreadScope().domainName(state.machine(attempt.machine));
     int count = countsFor(attempt).merge(domain, 1, Integer::sum);
-    findings.recordMaximum(Figure.MAX_VMS_OF_A_SERVICE_IN_A_DOMAIN, count);
+    findings.recordMaximum(Statistic.MAX_VMS_OF_A_SERVICE_IN_A_DOMAIN, count);
     if (count > settings.get().spreadLimit()) {
       findings.addViolation(
           SPREAD_RESPECTED,
@@ -49,7 +49,7 @@
             settings -> {
               ObservedMachine machine = state.machine(attempt.machine);
               countsFor(attempt)
-                  .merge(settings.spreadDomain().domainName(machine), -1, Integer::sum);
+                  .merge(settings.spreadScope().domainName(machine), -1, Integer::sum);
             });
   }
 
--- a/src/main/java/fordridge/emulator/invariant/Figure.java
+++ b/src/main/java/fordridge/emulator/invariant/Statistic.java
@@ -3,7 +3,7 @@
 /**
  * The counts and maxima that are reported in addition to the invariants; times are in microseconds.
  */
-public enum Figure {
+public enum Statistic {
   REQUESTS("placement requests"),
   RESPONSES_ACCEPTED("responses: accepted"),
   RESPONSES_REJECTED("responses: rejected"),
@@ -21,11 +21,11 @@
 
   private final String label;
 
-  Figure(String label) {
+  Statistic(String label) {
     this.label = label;
   }
 
-  /** The label of the figure in the report. */
+  /** The label of the statistic in the report. */
   public String label() {
     return label;
   }
--- a/src/main/java/fordridge/emulator/machine/HostedVms.java
+++ b/src/main/java/fordridge/emulator/machine/HostedVms.java
@@ -19,10 +19,10 @@
 final class HostedVms {
   private static final Duration RETENTION_AFTER_COMPLETION = Duration.ofSeconds(90);
 
-  private final Map<AttemptId, HostedVm> byAttempt = new LinkedHashMap<>();
+  private final Map<HostedAttemptId, HostedVm> byAttempt = new LinkedHashMap<>();
   private final Deque<HostedVm> completed = new ArrayDeque<>();
 
-  Optional<HostedVm> find(AttemptId attempt) {
+  Optional<HostedVm> find(HostedAttemptId attempt) {
     return Optional.ofNullable(byAttempt.get(attempt));
   }
 
--- a/src/main/java/fordridge/emulator/machine/MachineModel.java
+++ b/src/main/java/fordridge/emulator/machine/MachineModel.java
@@ -79,7 +79,7 @@
   /**
    * Receives an offer. A repeated offer starts nothing; the machine reports the VM's state again.
    */
-  public void offered(HostedVm vm) {
+  public void offer(HostedVm vm) {
     if (events.isHalted()) {
       return;
     }
@@ -108,14 +108,14 @@
   }
 
   /** Receives a scheduler's request for the load; the probe is queued like an offer. */
-  public void probed(String scheduler, long probeNumber) {
+  public void probe(String scheduler, long probeNumber) {
     if (!events.isHalted()) {
       admission.probed(scheduler, probeNumber);
     }
   }
 
   /** Receives a scheduler's request to cancel an offer or stop a VM. */
-  public void cancelled(AttemptId attempt) {
+  public void cancel(HostedAttemptId attempt) {
     Optional<HostedVm> known = vms.find(attempt);
     if (known.isEmpty() || events.isHalted()) {
       return;
--- a/src/main/java/fordridge/emulator/machine/MachineSpec.java
+++ b/src/main/java/fordridge/emulator/machine/MachineSpec.java
@@ -62,7 +62,7 @@
   /**
    * How the machine warms up after a restart.
    *
-   * @param initialPace the share of its full speed right after the restart
+   * @param initialSpeedShare the share of its full speed right after the restart
    * @param warmUp the time until it has its full speed; the speed grows linearly
    * @param overloadMultiple it crashes if it gets more offers than this multiple of the VMs that it
    *     can start
@@ -71,7 +71,7 @@
    *     is
    */
   public record SlowStart(
-      double initialPace,
+      double initialSpeedShare,
       Duration warmUp,
       double overloadMultiple,
       Duration overloadSpan,
--- a/src/main/java/fordridge/emulator/machine/SlowStartRamp.java
+++ b/src/main/java/fordridge/emulator/machine/SlowStartRamp.java
@@ -34,7 +34,8 @@
     }
     Duration age = events.now().minus(restartedAt.get());
     double warmUpShare = (double) age.toNanos() / Math.max(1, slowStart.warmUp().toNanos());
-    return Math.min(1, slowStart.initialPace() + (1 - slowStart.initialPace()) * warmUpShare);
+    return Math.min(
+        1, slowStart.initialSpeedShare() + (1 - slowStart.initialSpeedShare()) * warmUpShare);
   }
 
   /** Counts an offer, and returns false if it overloads the machine. */
--- a/src/main/java/fordridge/emulator/machine/VmOffer.java
+++ b/src/main/java/fordridge/emulator/machine/VmOffer.java
@@ -9,7 +9,7 @@
  * @param runTime how long the VM runs; zero if it runs until it is stopped
  */
 public record VmOffer(
-    AttemptId attempt,
+    HostedAttemptId attempt,
     String priorityClass,
     String tenant,
     String client,
--- a/src/main/java/fordridge/emulator/record/RecordField.java
+++ b/src/main/java/fordridge/emulator/record/RecordField.java
@@ -21,7 +21,7 @@
   END_KIND("how"),
   HAS_RUN("ran"),
   IS_LOST("lost"),
-  HELD_COUNT("held"),
+  INVENTORY_SIZE("held"),
   PROBE_NUMBER("probe"),
   /** What a usage note measures, or the kind of store record that a change concerns. */
   SUBJECT("of"),
@@ -42,11 +42,11 @@
   MEMORY("memory"),
   STATE("state"),
   STARTED_AT("started"),
-  IS_CLOSED("closed"),
-  MIN_WARMING_OFFERS("bears"),
+  IS_UNAVAILABLE("closed"),
+  MIN_WARM_UP_OFFERS("bears"),
   OVERLOAD_MULTIPLE("multiple"),
   OVERLOAD_SPAN("over"),
-  INITIAL_PACE("from"),
+  INITIAL_SPEED_SHARE("from"),
   WARM_UP("warm"),
   FULL_RATE("rate"),
   // The emulator and its settings.
--- a/src/main/java/fordridge/emulator/record/RecordedEvent.java
+++ b/src/main/java/fordridge/emulator/record/RecordedEvent.java
@@ -53,8 +53,8 @@
   }
 
   /** The kind of the event; empty if this version does not know it. */
-  public Optional<RecordKind> kind() {
-    return RecordKind.of(text(RecordField.KIND));
+  public Optional<RecordedEventKind> kind() {
+    return RecordedEventKind.of(text(RecordField.KIND));
   }
 
   /** The time of the event, in microseconds since the recording began. */
--- a/src/main/java/fordridge/emulator/record/RecordKind.java
+++ b/src/main/java/fordridge/emulator/record/RecordedEventKind.java
@@ -7,7 +7,7 @@
 import java.util.stream.Collectors;
 
 /** The kinds of events in a wire recording, with their values in the file. */
-public enum RecordKind {
+public enum RecordedEventKind {
   /** The deployment settings on which the invariants depend. */
   SETTINGS("terms"),
   /** One priority class of the deployment. */
@@ -37,9 +37,9 @@
   /** A machine began to drain. */
   DRAIN("drain"),
   /** A scheduler opened its stream to a machine. */
-  GREETING("greeting"),
+  MACHINE_STREAM_OPENED("greeting"),
   /** A machine sent a scheduler the inventory of that scheduler's VMs. */
-  HOLDING("holding"),
+  INVENTORY_REPORTED("holding"),
   /** A scheduler offered a VM to a machine. */
   OFFER("offer"),
   /** A scheduler withdrew an offer. */
@@ -63,31 +63,31 @@
   /** A machine reported its load. */
   LOAD_REPORT("report"),
   /** An injected fault broke a stream. */
-  CUT("cut"),
+  STREAM_CUT("cut"),
   /** A scheduler closed its stream to a machine. */
   STREAM_CLOSED("stream-closed"),
   /** A client detected that its stream to a scheduler broke. */
-  STREAM_BROKEN("stream-broken"),
+  CLIENT_STREAM_BROKEN("stream-broken"),
   /** A client opened its stream to a scheduler. */
-  HELLO("hello"),
+  CLIENT_STREAM_OPENED("hello"),
   /** A scheduler opened or resumed a client's session. */
-  WELCOME("welcome"),
+  SESSION_OPENED("welcome"),
   /** A client requested a VM. */
   PLACEMENT_REQUESTED("want"),
   /** A client withdrew its request for a VM. */
   REQUEST_WITHDRAWN("unwant"),
   /** A client was notified that its request was accepted. */
-  BOUND("bound"),
+  REQUEST_ACCEPTED("bound"),
   /** A client was notified that its request was rejected. */
-  DENIED("denied"),
+  REQUEST_REJECTED("denied"),
   /** A client was notified that its request failed. */
-  ERRORED("errored"),
+  REQUEST_FAILED("errored"),
   /** A client was notified that its VM ended. */
   ENDED("ended"),
   /** A client was notified that its VM was stopped for migration. */
-  MOVED("moved"),
+  VM_MIGRATED("moved"),
   /** A client received a message with a sequence number that it had already received. */
-  REPEATED("repeated"),
+  SEQUENCE_REPEATED("repeated"),
   /** A scripted fault begins. */
   FAULT_BEGINS("begins"),
   /** A scripted fault could not be injected. */
@@ -95,12 +95,13 @@
   /** The scenario is over. */
   SCENARIO_ENDS("ends");
 
-  private static final Map<String, RecordKind> BY_TEXT =
-      Arrays.stream(values()).collect(Collectors.toMap(RecordKind::text, Function.identity()));
+  private static final Map<String, RecordedEventKind> BY_TEXT =
+      Arrays.stream(values())
+          .collect(Collectors.toMap(RecordedEventKind::text, Function.identity()));
 
   private final String text;
 
-  RecordKind(String text) {
+  RecordedEventKind(String text) {
     this.text = text;
   }
 
@@ -110,7 +111,7 @@
   }
 
   /** The kind with this value in the file; empty if there is none. */
-  public static Optional<RecordKind> of(String text) {
+  public static Optional<RecordedEventKind> of(String text) {
     return Optional.ofNullable(BY_TEXT.get(text));
   }
 }
--- a/src/main/java/fordridge/emulator/record/WireRecorder.java
+++ b/src/main/java/fordridge/emulator/record/WireRecorder.java
@@ -43,7 +43,7 @@
   }
 
   /** Begins an event; it is recorded with the time at which {@link Event#write} is called. */
-  public Event event(String source, RecordKind kind) {
+  public Event event(String source, RecordedEventKind kind) {
     return new Event(source, kind);
   }
 
@@ -52,10 +52,10 @@
   /** A builder of an event. Not thread-safe. */
   public final class Event {
     private final String source;
-    private final RecordKind kind;
+    private final RecordedEventKind kind;
     private final List<FieldValue> fields = new ArrayList<>();
 
-    private Event(String source, RecordKind kind) {
+    private Event(String source, RecordedEventKind kind) {
       this.source = source;
       this.kind = kind;
     }
--- a/src/main/java/fordridge/eventloop/EventLoopLagMonitor.java
+++ b/src/main/java/fordridge/eventloop/EventLoopLagMonitor.java
@@ -37,7 +37,7 @@
     timers.runAfter(
         SAMPLE_INTERVAL,
         () -> {
-          lag.seen(sampleDelay(), clock.get());
+          lag.record(sampleDelay(), clock.get());
           start();
         });
   }
@@ -47,17 +47,17 @@
    * windows. A message that is read at the end of a long turn is handled before the sample that
    * shows the delay, so a sample that is overdue counts already.
    */
-  public Duration allowance(Duration at) {
-    return Durations.max(lag.allowance(at), sampleDelay());
+  public Duration maxReadDelay(Duration at) {
+    return Durations.max(lag.maxRecentLag(at), sampleDelay());
   }
 
   /**
-   * Same as {@link #allowance(Duration)}, for a caller that knows how long ago the sockets were
+   * Same as {@link #maxReadDelay(Duration)}, for a caller that knows how long ago the sockets were
    * polled before this turn. The samples make an idle loop poll the sockets once every sample
    * interval, which is not lag.
    */
-  public Duration allowance(Duration at, Duration sincePreviousPoll) {
-    return Durations.max(allowance(at), sincePreviousPoll.minus(SAMPLE_INTERVAL));
+  public Duration maxReadDelay(Duration at, Duration sincePreviousPoll) {
+    return Durations.max(maxReadDelay(at), sincePreviousPoll.minus(SAMPLE_INTERVAL));
   }
 
   private Duration sampleDelay() {
--- a/src/main/java/fordridge/eventloop/InputGate.java
+++ b/src/main/java/fordridge/eventloop/InputGate.java
@@ -11,16 +11,16 @@
  * closed connections and changes of the machine list are processed first: an irreversible action is
  * never based on facts that unread input contradicts. Confined to the event loop.
  *
- * <p>The gate itself decides nothing: waiting inputs are entered in the order in which they came.
+ * <p>The gate itself decides nothing: waiting inputs are submitted in the order in which they came.
  * Their number is bounded by the pending requests and the connections to machines.
  */
 public final class InputGate {
   /** The result of a pass over the sockets. */
   public enum ReadResult {
     /** All input that had arrived before the pass was read. */
-    TO_THE_END,
+    COMPLETE,
     /** Some sockets may have more input: another pass is needed. */
-    MORE_MAY_WAIT,
+    INCOMPLETE,
     /**
      * Something that is waiting can't be read now because the system refuses it, for instance a
      * connection to be accepted while descriptors are short.
@@ -40,7 +40,7 @@
     void refreshTime();
 
     /** Runs an input now; a failure of the input is reported, not thrown. */
-    void enter(InputKind kind, Runnable input);
+    void submit(InputKind kind, Runnable input);
   }
 
   /** The maximum age of the last complete read, by the process's own clock. */
@@ -52,7 +52,7 @@
    */
   private static final Duration MAX_READ_TIME = Duration.ofMillis(100);
 
-  /** The maximum time for entering waiting inputs in one turn; at least one is entered. */
+  /** The maximum time for submitting waiting inputs in one turn; at least one is submitted. */
   private static final Duration MAX_TURN_TIME = Duration.ofMillis(50);
 
   /**
@@ -89,8 +89,10 @@
     this.decide = decide;
   }
 
-  /** Enters the input after everything that peers have sent was read, in the order of the calls. */
-  public void enterWhenRead(InputKind kind, Runnable input) {
+  /**
+   * Submits the input after everything that peers have sent was read, in the order of the calls.
+   */
+  public void submitAfterRead(InputKind kind, Runnable input) {
     waiting.addLast(new WaitingInput(kind, input));
     scheduleRun(Duration.ZERO);
   }
@@ -105,7 +107,7 @@
     }
     if (!isDecisionWaiting) {
       isDecisionWaiting = true;
-      enterWhenRead(InputKind.DECISION, this::decideNow);
+      submitAfterRead(InputKind.DECISION, this::decideNow);
     }
     return false;
   }
@@ -131,7 +133,7 @@
     isRunScheduled = false;
     Duration retryDelay = REFUSED_RETRY_DELAY;
     try {
-      retryDelay = enterWaiting() == ReadResult.REFUSED ? REFUSED_RETRY_DELAY : Duration.ZERO;
+      retryDelay = submitWaiting() == ReadResult.REFUSED ? REFUSED_RETRY_DELAY : Duration.ZERO;
     } finally {
       // Also scheduled after a failed read: waiting inputs must not wait forever.
       if (!waiting.isEmpty()) {
@@ -140,15 +142,15 @@
     }
   }
 
-  private ReadResult enterWaiting() {
+  private ReadResult submitWaiting() {
     Duration startedAt = port.clock();
-    ReadResult result = ReadResult.TO_THE_END;
+    ReadResult result = ReadResult.COMPLETE;
     boolean hasTime = true;
-    while (!waiting.isEmpty() && hasTime && result == ReadResult.TO_THE_END) {
-      result = isFresh() ? ReadResult.TO_THE_END : readAll();
-      if (result == ReadResult.TO_THE_END) {
+    while (!waiting.isEmpty() && hasTime && result == ReadResult.COMPLETE) {
+      result = isFresh() ? ReadResult.COMPLETE : readAll();
+      if (result == ReadResult.COMPLETE) {
         WaitingInput next = waiting.removeFirst();
-        port.enter(next.kind, next.input);
+        port.submit(next.kind, next.input);
       }
       hasTime = port.clock().minus(startedAt).compareTo(MAX_TURN_TIME) < 0;
     }
@@ -162,11 +164,11 @@
   private ReadResult readAll() {
     Duration startedAt = port.clock();
     Duration passStartedAt = startedAt;
-    ReadResult result = ReadResult.MORE_MAY_WAIT;
-    while (result == ReadResult.MORE_MAY_WAIT
+    ReadResult result = ReadResult.INCOMPLETE;
+    while (result == ReadResult.INCOMPLETE
         && passStartedAt.minus(startedAt).compareTo(MAX_READ_TIME) < 0) {
       result = port.readSockets();
-      readAt = result == ReadResult.TO_THE_END ? passStartedAt : readAt;
+      readAt = result == ReadResult.COMPLETE ? passStartedAt : readAt;
       passStartedAt = port.clock();
     }
     port.refreshTime();
@@ -176,8 +178,8 @@
 
   private void record(ReadResult result, Duration duration) {
     switch (result) {
-      case TO_THE_END -> completeReads++;
-      case MORE_MAY_WAIT -> incompleteReads++;
+      case COMPLETE -> completeReads++;
+      case INCOMPLETE -> incompleteReads++;
       case REFUSED -> refusedReads++;
     }
     longestRead = duration.compareTo(longestRead) > 0 ? duration : longestRead;
--- a/src/main/java/fordridge/group/VmGroup.java
+++ b/src/main/java/fordridge/group/VmGroup.java
@@ -71,11 +71,11 @@
   }
 
   private static final class Member {
-    final boolean mayRunAgain;
+    final boolean isIdempotent;
     MemberState state = MemberState.JOINED;
 
-    Member(boolean mayRunAgain) {
-      this.mayRunAgain = mayRunAgain;
+    Member(boolean isIdempotent) {
+      this.isIdempotent = isIdempotent;
     }
   }
 
@@ -108,11 +108,11 @@
    * A member was requested. Returns false if the group is complete or has failed, or if the VM is a
    * member already; the request is then not part of the group.
    */
-  public boolean memberJoined(String vm, boolean mayRunAgain) {
+  public boolean memberJoined(String vm, boolean isIdempotent) {
     if (state == GroupState.FAILED || isComplete() || members.containsKey(vm)) {
       return false;
     }
-    members.put(vm, new Member(mayRunAgain));
+    members.put(vm, new Member(isIdempotent));
     if (isComplete()) {
       actions.allMembersJoined(List.copyOf(members.keySet()));
     }
@@ -222,7 +222,7 @@
 
   private void settle(String vm, Member member, boolean mayHaveRun, String reason) {
     member.state = MemberState.SETTLED;
-    if (mayHaveRun && !member.mayRunAgain) {
+    if (mayHaveRun && !member.isIdempotent) {
       actions.fail(vm, reason);
     } else {
       actions.reject(vm, reason);
--- a/src/main/java/fordridge/grpc/OperatorService.java
+++ b/src/main/java/fordridge/grpc/OperatorService.java
@@ -85,14 +85,14 @@
     ConstraintIndex constraints = cluster.constraints();
     ExplainReply.Builder reply =
         ExplainReply.newBuilder().setVersion(cluster.constraintsVersion()).setRunsOn(vm.machine());
-    constraints.withoutAttempt(
+    constraints.runWithoutAttempt(
         vm.attempt(),
         () -> cluster.machineNames().forEach(machine -> reply.addSpots(spot(vm, machine))));
     constraints
         .findViolatingPlacements()
         .forEach((attempt, reasons) -> reply.addMisfits(misfit(attempt, reasons)));
     constraints
-        .findImprovablePlacements(ConstraintIndex.MAX_IMPROVABLE_REPORTED)
+        .findImprovablePlacements(ConstraintIndex.MAX_REPORTED_IMPROVABLE_PLACEMENTS)
         .forEach((attempt, reasons) -> reply.addStrayed(misfit(attempt, reasons)));
     return reply.build();
   }
--- a/src/main/java/fordridge/json/ClientConnection.java
+++ b/src/main/java/fordridge/json/ClientConnection.java
@@ -85,7 +85,7 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    server.connectionClosed(this, CloseReason.BY_CLIENT);
+    server.connectionClosed(this, ClientConnectionCloseReason.BY_CLIENT);
   }
 
   @Override
@@ -117,11 +117,11 @@
   @Override
   void malformedInput(String reason) {
     if (!channel.isActive()) {
-      close(CloseReason.BY_CLIENT);
+      close(ClientConnectionCloseReason.BY_CLIENT);
       return;
     }
     server.handler().malformedInputReceived(this);
-    closeAfterResponse(CloseReason.MALFORMED_INPUT);
+    closeAfterResponse(ClientConnectionCloseReason.MALFORMED_INPUT);
   }
 
   /** Sends that the VM was accepted; the description is the one that its machine sent. */
@@ -135,11 +135,11 @@
    */
   public void sendRejected(String vmId, Duration retryAfter) {
     String waitMillis = retryAfter.isZero() ? null : Long.toString(retryAfter.toMillis());
-    write("down", vmId, TerminationCause.REJECTED.code(), null, "wait", waitMillis);
+    write("down", vmId, TerminationCode.REJECTED.code(), null, "wait", waitMillis);
   }
 
   /** Sends that the request failed or that the VM terminated. */
-  public void sendTerminated(String vmId, TerminationCause cause) {
+  public void sendTerminated(String vmId, TerminationCode cause) {
     write("down", vmId, cause.code(), null);
   }
 
@@ -157,7 +157,7 @@
    * Stops reading, and closes the connection after a delay in which written output can arrive. No
    * request of the connection may be pending at the close.
    */
-  public void closeAfterResponse(CloseReason reason) {
+  public void closeAfterResponse(ClientConnectionCloseReason reason) {
     if (!isReadingStopped && channel != null) {
       isReadingStopped = true;
       channel.config().setAutoRead(false);
@@ -178,7 +178,7 @@
   }
 
   /** Closes the connection; the handler is notified before this returns. */
-  public void close(CloseReason reason) {
+  public void close(ClientConnectionCloseReason reason) {
     if (channel != null) {
       // Reported here and not only in channelInactive, which the loop calls later: in a flood of
       // new connections the same connection would be chosen to be closed again and again.
@@ -200,7 +200,7 @@
     if (!channel.isActive()) {
       // Closed, but channelInactive was not called yet. Reported now, as what was to be sent on
       // this connection has to go to another one at once.
-      server.connectionClosed(this, CloseReason.BY_CLIENT);
+      server.connectionClosed(this, ClientConnectionCloseReason.BY_CLIENT);
       return;
     }
     ByteBuf line = encode(channel, type, id, code, description, fields);
@@ -216,7 +216,7 @@
     if (server.cancelFlush(this)) {
       channel.flush();
       if (pendingOutputBytes() > MAX_PENDING_OUTPUT_BYTES) {
-        close(CloseReason.OUTPUT_NOT_READ);
+        close(ClientConnectionCloseReason.OUTPUT_NOT_READ);
       }
     }
   }
--- a/src/main/java/fordridge/json/CloseReason.java
+++ b/src/main/java/fordridge/json/ClientConnectionCloseReason.java
@@ -1,7 +1,7 @@
 package fordridge.json;
 
 /** Why a client connection was closed, for logs and statistics. */
-public enum CloseReason {
+public enum ClientConnectionCloseReason {
   /** The client or the network closed it. */
   BY_CLIENT,
   /** It was not used for a while. */
--- a/src/main/java/fordridge/json/ClientServer.java
+++ b/src/main/java/fordridge/json/ClientServer.java
@@ -75,7 +75,8 @@
   /** Connections with written output that is not flushed yet. */
   private final Set<ClientConnection> unflushed = new LinkedHashSet<>();
 
-  private final Map<CloseReason, Long> closeCounts = new EnumMap<>(CloseReason.class);
+  private final Map<ClientConnectionCloseReason, Long> closeCounts =
+      new EnumMap<>(ClientConnectionCloseReason.class);
   private Channel serverChannel;
 
   /** Creates a server that does not listen yet, for at most {@code maxConnections} connections. */
@@ -124,7 +125,7 @@
   }
 
   /** Adds a client connection to a channel that needs no socket and no event loop. */
-  public static void embed(ClientRequestHandler handler, ChannelPipeline pipeline) {
+  public static void addEmbeddedConnection(ClientRequestHandler handler, ChannelPipeline pipeline) {
     ClientConnection connection = new ClientConnection(new ClientServer(null, null, handler, 1));
     connection.addTo(pipeline);
     connection.channelActive(pipeline.firstContext());
@@ -182,7 +183,7 @@
    * Whether the system fails to accept connections that may be waiting; false once it has failed
    * for {@link #MAX_UNREAD_TIME}.
    */
-  public boolean isAcceptingRefused() {
+  public boolean isAcceptFailing() {
     return acceptRetry.isRefused(MAX_UNREAD_TIME);
   }
 
@@ -224,7 +225,7 @@
   }
 
   /** The number of connections closed since the start, by reason. */
-  public Map<CloseReason, Long> closeCounts() {
+  public Map<ClientConnectionCloseReason, Long> closeCounts() {
     return closeCounts;
   }
 
@@ -254,7 +255,7 @@
       closeServerChannel();
     }
     for (ClientConnection connection : List.copyOf(connections)) {
-      connection.close(CloseReason.SHUTDOWN);
+      connection.close(ClientConnectionCloseReason.SHUTDOWN);
     }
   }
 
@@ -290,7 +291,7 @@
   }
 
   /** Reports a close to the handler; only the first call for each connection has an effect. */
-  void connectionClosed(ClientConnection connection, CloseReason reason) {
+  void connectionClosed(ClientConnection connection, ClientConnectionCloseReason reason) {
     unreadSinceNanos.remove(connection);
     partlyReadInPass.remove(connection);
     unreadTooLong.remove(connection);
@@ -326,7 +327,7 @@
   private void closeIfStillIdle(List<ClientConnection> candidates) {
     for (ClientConnection connection : candidates) {
       if (isIdle(connection)) {
-        connection.close(CloseReason.IDLE);
+        connection.close(ClientConnectionCloseReason.IDLE);
       }
     }
   }
@@ -350,7 +351,7 @@
     // If it was used just now, a request that was read has to be answered, or its response is not
     // sent yet.
     if (idlest.lastUsedNanos() == usedNanos && !handler.isInUse(idlest)) {
-      idlest.close(CloseReason.OVER_LIMIT);
+      idlest.close(ClientConnectionCloseReason.OVER_LIMIT);
     }
   }
 
--- a/src/main/java/fordridge/json/JsonFields.java
+++ b/src/main/java/fordridge/json/JsonFields.java
@@ -114,7 +114,7 @@
     return switch (in.currentToken()) {
       case START_OBJECT -> object(in);
       case START_ARRAY -> array(in);
-      case VALUE_NUMBER_INT -> wholeNumber(in);
+      case VALUE_NUMBER_INT -> longOrDouble(in);
       case VALUE_NUMBER_FLOAT -> in.getDoubleValue();
       case VALUE_TRUE -> true;
       case VALUE_FALSE -> false;
@@ -132,7 +132,7 @@
   }
 
   /** Returns a long, or a double if the number does not fit into a long. */
-  private static Object wholeNumber(JsonParser in) throws IOException {
+  private static Object longOrDouble(JsonParser in) throws IOException {
     if (in.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
       return in.getDoubleValue();
     }
@@ -148,7 +148,7 @@
   }
 
   /** Returns a required whole number. */
-  public static long whole(Map<String, Object> fields, String name, String path) {
+  public static long wholeNumber(Map<String, Object> fields, String name, String path) {
     Object value = require(fields, name, path);
     if (value instanceof Long number) {
       return number;
@@ -157,9 +157,9 @@
   }
 
   /** Returns a whole number, or {@code defaultValue} if the field is absent. */
-  public static long whole(
+  public static long wholeNumber(
       Map<String, Object> fields, String name, String path, long defaultValue) {
-    return fields.get(name) == null ? defaultValue : whole(fields, name, path);
+    return fields.get(name) == null ? defaultValue : wholeNumber(fields, name, path);
   }
 
   /** Returns a required number. */
@@ -193,7 +193,7 @@
   }
 
   /** Returns a boolean; false if the field is absent. */
-  public static boolean flag(Map<String, Object> fields, String name, String path) {
+  public static boolean bool(Map<String, Object> fields, String name, String path) {
     Object value = fields.get(name);
     if (value == null) {
       return false;
--- a/src/main/java/fordridge/json/LineCodec.java
+++ b/src/main/java/fordridge/json/LineCodec.java
@@ -111,7 +111,7 @@
   }
 
   private static int code(Map<String, Object> message) {
-    long code = JsonFields.whole(message, "c", "line", NO_CODE);
+    long code = JsonFields.wholeNumber(message, "c", "line", NO_CODE);
     if (code < NO_CODE || code > MAX_CODE) {
       throw MalformedInputException.unexpected("line", "c", "within -1 to " + MAX_CODE, code);
     }
--- a/src/main/java/fordridge/json/MachineClient.java
+++ b/src/main/java/fordridge/json/MachineClient.java
@@ -2,8 +2,8 @@
 
 import fordridge.machine.ConnectFailure;
 import fordridge.machine.LoadReport;
-import fordridge.machine.MachineCloseReason;
 import fordridge.machine.MachineConnection;
+import fordridge.machine.MachineConnectionCloseReason;
 import fordridge.machine.MachineTransport;
 import fordridge.machine.VmReportKind;
 import fordridge.machine.VmTermination;
@@ -48,7 +48,7 @@
     void connectionLost(MachineConnection connection, String reason);
 
     /** The scheduler is closing the connection. */
-    void connectionClosed(MachineConnection connection, MachineCloseReason reason);
+    void connectionClosed(MachineConnection connection, MachineConnectionCloseReason reason);
 
     /** The machine accepted a VM. */
     void vmAccepted(MachineConnection connection, String vmId, String description);
@@ -169,7 +169,7 @@
   }
 
   @Override
-  public void close(MachineConnection connection, MachineCloseReason reason) {
+  public void close(MachineConnection connection, MachineConnectionCloseReason reason) {
     listener.connectionClosed(connection, reason);
     handler(connection).close();
   }
@@ -197,12 +197,12 @@
 
   @Override
   public void cancel(MachineConnection connection, String vmId) {
-    handler(connection).write("down", vmId, TerminationCause.DONE.code(), null);
+    handler(connection).write("down", vmId, TerminationCode.DONE.code(), null);
   }
 
   @Override
   public void terminate(MachineConnection connection, String vmId) {
-    handler(connection).write("down", vmId, TerminationCause.CANCELLED.code(), null);
+    handler(connection).write("down", vmId, TerminationCode.CANCELLED.code(), null);
   }
 
   @Override
--- a/src/main/java/fordridge/json/MachineConnectionHandler.java
+++ b/src/main/java/fordridge/json/MachineConnectionHandler.java
@@ -241,7 +241,7 @@
   }
 
   private void vmTerminated(String vmId, int code, String note) {
-    TerminationCause cause = TerminationCause.fromCode(code);
+    TerminationCode cause = TerminationCode.fromCode(code);
     OutcomeReason reason = OUTCOME_REASONS.getOrDefault(note, OutcomeReason.UNSPECIFIED);
     listener.vmTerminated(
         connection,
--- a/src/main/java/fordridge/json/MachineListEvent.java
+++ b/src/main/java/fordridge/json/MachineListEvent.java
@@ -12,7 +12,7 @@
  *
  * @param isComplete whether machines that are not in this event have left the cluster
  */
-public record MachineListEvent(boolean isComplete, List<Entry> machines) {
+public record MachineListEvent(boolean isComplete, List<MachineEntry> machines) {
   private static final String MACHINES_PATH = "hosts.members";
 
   /**
@@ -23,7 +23,7 @@
    * @param freeMemory free memory according to the list, 0 if not given
    * @param startedAtEpochMillis when the machine's process started, 0 if not known
    */
-  public record Entry(
+  public record MachineEntry(
       String id,
       InetSocketAddress address,
       String zone,
@@ -36,27 +36,27 @@
 
   /** Reads an event from parsed JSON. */
   public static MachineListEvent read(Map<String, Object> hosts) {
-    boolean isComplete = JsonFields.flag(hosts, "complete", "hosts");
+    boolean isComplete = JsonFields.bool(hosts, "complete", "hosts");
     List<Object> members = JsonFields.list(hosts, "members", "hosts");
-    List<Entry> machines = new ArrayList<>(members.size());
+    List<MachineEntry> machines = new ArrayList<>(members.size());
     for (Object member : members) {
       machines.add(readEntry(JsonFields.object(member, MACHINES_PATH)));
     }
     return new MachineListEvent(isComplete, machines);
   }
 
-  private static Entry readEntry(Map<String, Object> member) {
+  private static MachineEntry readEntry(Map<String, Object> member) {
     List<?> free = member.get("unasked") instanceof List<?> amounts ? amounts : List.of();
-    return new Entry(
+    return new MachineEntry(
         JsonFields.text(member, "id", MACHINES_PATH),
         member.get("host_port") instanceof String address ? SocketAddresses.parse(address) : null,
         JsonFields.text(member, "locality", MACHINES_PATH, ""),
         JsonFields.text(member, "flavor", MACHINES_PATH, ""),
-        (int) JsonFields.whole(member, "cell", MACHINES_PATH, 0),
+        (int) JsonFields.wholeNumber(member, "cell", MACHINES_PATH, 0),
         amount(free, 0),
         amount(free, 1),
         lifecycle(JsonFields.text(member, "phase", MACHINES_PATH)),
-        JsonFields.whole(member, "up_since_ms", MACHINES_PATH, 0));
+        JsonFields.wholeNumber(member, "up_since_ms", MACHINES_PATH, 0));
   }
 
   private static double amount(List<?> amounts, int index) {
--- a/src/main/java/fordridge/json/EndpointWatcher.java
+++ b/src/main/java/fordridge/json/MachineListWatcher.java
@@ -31,7 +31,7 @@
  *
  * <p>The configuration and the protocol call this stream of events the journal.
  */
-public final class EndpointWatcher {
+public final class MachineListWatcher {
   /**
    * The server sends its position every second; a server that is silent for this long is assumed to
    * hang.
@@ -151,7 +151,7 @@
    * Creates a watcher that has the events up to {@code position} and is not connected to a server
    * yet.
    */
-  public EndpointWatcher(
+  public MachineListWatcher(
       EventLoopGroup loop,
       EventLoopTimers timers,
       long position,
@@ -191,7 +191,7 @@
    * list then includes what changed between the making of the configuration and the start of the
    * watch, as far as that can be known.
    */
-  public void whenFirstHeard(Runnable task) {
+  public void whenFirstContacted(Runnable task) {
     onFirstContact = task;
   }
 
@@ -233,13 +233,13 @@
   }
 
   private void eventReceived(Map<String, Object> event) {
-    long eventPosition = JsonFields.whole(event, "pos", "event");
+    long eventPosition = JsonFields.wholeNumber(event, "pos", "event");
     if (eventPosition <= position) {
       return;
     }
     Map<String, Object> hosts = JsonFields.object(event.get("hosts"), "event.hosts");
     boolean hasGap =
-        eventPosition > position + 1 && !JsonFields.flag(hosts, "complete", "event.hosts");
+        eventPosition > position + 1 && !JsonFields.bool(hosts, "complete", "event.hosts");
     // Missing events are requested again only once, as one of them may be a drain. A complete list
     // does not depend on earlier events, and a server that repeats the same gap has no more events.
     if (hasGap && lastGapPosition != position) {
--- a/src/main/java/fordridge/json/TerminationCause.java
+++ b/src/main/java/fordridge/json/TerminationCode.java
@@ -7,7 +7,7 @@
  * The cause in a termination line ({@code down}) of the JSON lines protocol, sent to clients and
  * received from machines. Any other code from a machine counts as {@link #RESET}.
  */
-public enum TerminationCause {
+public enum TerminationCode {
   /** The VM finished; in a line from the scheduler it withdraws a placement request. */
   DONE(16, Outcome.RESET, Optional.of(Outcome.DONE)),
   /** The VM was migrated, or was terminated by its client, which gets no termination notice. */
@@ -25,18 +25,18 @@
   private final Outcome outcomeIfPending;
   private final Optional<Outcome> outcomeIfRunning;
 
-  TerminationCause(int code, Outcome outcomeIfPending, Optional<Outcome> outcomeIfRunning) {
+  TerminationCode(int code, Outcome outcomeIfPending, Optional<Outcome> outcomeIfRunning) {
     this.code = code;
     this.outcomeIfPending = outcomeIfPending;
     this.outcomeIfRunning = outcomeIfRunning;
   }
 
   /**
-   * Returns the cause for a code received from a machine; {@link #RESET} for any other code, or
+   * Returns the constant for a code received from a machine; {@link #RESET} for any other code, or
    * none.
    */
-  public static TerminationCause fromCode(int code) {
-    for (TerminationCause cause : values()) {
+  public static TerminationCode fromCode(int code) {
+    for (TerminationCode cause : values()) {
       if (cause.code == code) {
         return cause;
       }
--- a/src/main/java/fordridge/machine/ConnectionBudget.java
+++ b/src/main/java/fordridge/machine/ConnectionBudget.java
@@ -50,7 +50,7 @@
       Collection<MachineConnectionPool> pools,
       int inUseCount,
       int limit,
-      OfferAllowance offers,
+      OfferConnectionQuota offers,
       Duration now) {
     Demand demand = Demand.of(pools, limit);
     int available = Math.max(0, limit - inUseCount);
--- a/src/main/java/fordridge/machine/ConnectionOpener.java
+++ b/src/main/java/fordridge/machine/ConnectionOpener.java
@@ -8,18 +8,18 @@
  * one. Not thread-safe.
  */
 final class ConnectionOpener {
-  private final OfferAllowance offers;
+  private final OfferConnectionQuota offers;
   private final MachineTransport transport;
   private final ConnectionSet connections;
   private final LivenessDetector liveness;
   private ConnectionTimeouts timeouts;
 
   /** Whether the machine's last connection was closed to free it for other machines. */
-  private boolean lastConnectionReclaimed;
+  private boolean isLastConnectionReclaimed;
 
   ConnectionOpener(
       ConnectionTimeouts timeouts,
-      OfferAllowance offers,
+      OfferConnectionQuota offers,
       MachineTransport transport,
       ConnectionSet connections,
       LivenessDetector liveness) {
@@ -79,7 +79,7 @@
   MachineConnection open(Duration now) {
     MachineConnection connection = new MachineConnection(now, now.plus(timeouts.connectTimeout()));
     liveness.connectStarted(now);
-    lastConnectionReclaimed = false;
+    isLastConnectionReclaimed = false;
     connections.add(connection);
     transport.open(connection);
     return connection;
@@ -87,11 +87,11 @@
 
   /** A connection of this machine was closed to free it for other machines. */
   void connectionReclaimed() {
-    lastConnectionReclaimed = connections.isEmpty();
+    isLastConnectionReclaimed = connections.isEmpty();
   }
 
   /** Whether the last connection was closed to free it for other machines. */
   boolean isLastConnectionReclaimed() {
-    return lastConnectionReclaimed;
+    return isLastConnectionReclaimed;
   }
 }
--- a/src/main/java/fordridge/machine/ExponentialBackoff.java
+++ b/src/main/java/fordridge/machine/ExponentialBackoff.java
@@ -29,7 +29,7 @@
     int doublings = Math.min(failures, MAX_DOUBLINGS);
     failures++;
     double bound = Math.min(maxSeconds, minSeconds * Math.pow(2, doublings));
-    return Durations.ofSeconds(bound * (0.5 + random.next() / 2));
+    return Durations.ofSeconds(bound * (0.5 + random.nextDouble() / 2));
   }
 
   /** Returns the number of consecutive failures. */
--- a/src/main/java/fordridge/machine/MachineCloseReason.java
+++ b/src/main/java/fordridge/machine/MachineConnectionCloseReason.java
@@ -1,7 +1,7 @@
 package fordridge.machine;
 
 /** Why the scheduler closed a connection to a machine. The names are written to the log. */
-public enum MachineCloseReason {
+public enum MachineConnectionCloseReason {
   /** The connection was not established within the connect timeout. */
   CONNECT_TIMED_OUT,
   /**
--- a/src/main/java/fordridge/machine/MachineConnectionListener.java
+++ b/src/main/java/fordridge/machine/MachineConnectionListener.java
@@ -11,7 +11,7 @@
   void attemptAccepted(PlacementAttempt attempt, String description);
 
   /** The machine reported the end of a VM that is not known to run there. */
-  void unknownVmEnded(VmTermination termination, Machine machine);
+  void unknownVmTerminated(VmTermination termination, Machine machine);
 
   /** The machine accepted a VM that has no pending placement request there. */
   void unknownVmAccepted(String vmId, Machine machine);
--- a/src/main/java/fordridge/machine/MachineConnectionPool.java
+++ b/src/main/java/fordridge/machine/MachineConnectionPool.java
@@ -49,12 +49,12 @@
   /**
    * Creates a pool without connections for a machine that is live.
    *
-   * @param offers the allowance that the pools of all machines share
+   * @param offers the quota that the pools of all machines share
    */
   public MachineConnectionPool(
       Machine machine,
       ConnectionTimeouts timeouts,
-      OfferAllowance offers,
+      OfferConnectionQuota offers,
       MachineTransport transport,
       MachineConnectionListener listener) {
     this.machine = machine;
@@ -179,7 +179,7 @@
   }
 
   /** The machine list names another machine at its address: this machine's process has ended. */
-  public void addressTaken(Duration now) {
+  public void addressReassigned(Duration now) {
     machineFailed(MachineFailure.ADDRESS_TAKEN, now);
   }
 
@@ -201,8 +201,7 @@
     messageReceived(now);
     connection.established(now);
     sendPending(connection, now);
-    // Terminations may have been lost with another connection, or had none to be sent on. The
-    // machine ignores duplicates.
+    // Terminations may be lost with a connection, or had none; the machine ignores duplicates.
     runningVms.terminating().forEach(vmId -> transport.terminate(connection, vmId));
     if (connection.isProbing()) {
       transport.probe(connection);
@@ -284,7 +283,7 @@
   }
 
   /** Whether a termination notice for a VM that is not known to run here is kept. */
-  public boolean isEndKept(String vmId, Duration now) {
+  public boolean hasUnclaimedTermination(String vmId, Duration now) {
     return runningVms.hasUnclaimedTermination(vmId, now);
   }
 
@@ -294,7 +293,7 @@
   }
 
   /** Number of notices for unknown VMs that were displaced by later ones since the start. */
-  public long displacedEndCount() {
+  public long displacedTerminationCount() {
     return runningVms.displacedTerminationCount();
   }
 
@@ -368,7 +367,7 @@
         .longestIdle()
         .ifPresent(
             connection -> {
-              close(connection, MachineCloseReason.YIELDED, now);
+              close(connection, MachineConnectionCloseReason.YIELDED, now);
               opener.connectionReclaimed();
             });
   }
@@ -378,7 +377,7 @@
     for (MachineConnection connection : connections.all()) {
       if (connection.hasConnectTimedOut(now) && !transport.isConnected(connection)) {
         boolean isLocal = transport.failedLocally(connection);
-        transport.close(connection, MachineCloseReason.CONNECT_TIMED_OUT);
+        transport.close(connection, MachineConnectionCloseReason.CONNECT_TIMED_OUT);
         connectionFailed(
             connection, isLocal ? ConnectFailure.LOCAL : ConnectFailure.UNREACHABLE, now);
       } else if (connection.hasHealthCheckTimedOut(timeouts.connectTimeout(), now)) {
@@ -389,7 +388,7 @@
       } else if (connection.isIdle()) {
         // One idle connection is kept for termination notices; others are closed when unused.
         if (idleConnectionKept && connection.isUnusedFor(timeouts.idleTimeout(), now)) {
-          close(connection, MachineCloseReason.IDLE, now);
+          close(connection, MachineConnectionCloseReason.IDLE, now);
         }
         idleConnectionKept = true;
       }
@@ -421,7 +420,7 @@
     listener.machineFailed(machine, failure, runningVms.size());
     for (MachineConnection connection : connections.all()) {
       executions.requestsLost(connection, now);
-      close(connection, MachineCloseReason.MACHINE_FAILED, now);
+      close(connection, MachineConnectionCloseReason.MACHINE_FAILED, now);
     }
     executions.allVmsLost(failure, now);
   }
@@ -486,11 +485,12 @@
   private void closeIfRetired(MachineConnection connection) {
     if (connection.isRetired() && connections.remove(connection)) {
       connection.closed();
-      transport.close(connection, MachineCloseReason.RETIRED);
+      transport.close(connection, MachineConnectionCloseReason.RETIRED);
     }
   }
 
-  private void close(MachineConnection connection, MachineCloseReason reason, Duration now) {
+  private void close(
+      MachineConnection connection, MachineConnectionCloseReason reason, Duration now) {
     if (connections.remove(connection)) {
       connection.closed();
       failProbes(connection, now);
--- a/src/main/java/fordridge/machine/MachineTransport.java
+++ b/src/main/java/fordridge/machine/MachineTransport.java
@@ -26,7 +26,7 @@
   boolean failedLocally(MachineConnection connection);
 
   /** Closes the connection; no further events of the connection are reported. */
-  void close(MachineConnection connection, MachineCloseReason reason);
+  void close(MachineConnection connection, MachineConnectionCloseReason reason);
 
   /** Sends a placement request; the machine has to answer within {@code timeLeft}. */
   void requestPlacement(MachineConnection connection, PlacementAttempt attempt, Duration timeLeft);
--- a/src/main/java/fordridge/machine/OfferAllowance.java
+++ b/src/main/java/fordridge/machine/OfferConnectionQuota.java
@@ -5,7 +5,7 @@
  * may be opened for them. The other connections are reserved for monitoring machines with VMs.
  * {@link ConnectionBudget} resets both limits at each tick. Not thread-safe.
  */
-public final class OfferAllowance {
+public final class OfferConnectionQuota {
   private int remainingBusy = Integer.MAX_VALUE;
   private int remainingOpens = Integer.MAX_VALUE;
 
--- a/src/main/java/fordridge/machine/ReconnectPacer.java
+++ b/src/main/java/fordridge/machine/ReconciliationPacer.java
@@ -20,7 +20,7 @@
  *
  * @param <M> identifies a machine
  */
-public final class ReconnectPacer<M> {
+public final class ReconciliationPacer<M> {
   /** Maximum number of machines being connected to, which take about 10 ms of the event loop. */
   private static final int MAX_CONCURRENT = 8;
 
--- a/src/main/java/fordridge/machine/UnsettledAttempts.java
+++ b/src/main/java/fordridge/machine/UnsettledAttempts.java
@@ -132,7 +132,7 @@
   }
 
   /** Adds the number of unsettled attempts by reason to the given counts. */
-  public void countInto(Map<UnsettledReason, Integer> counts) {
+  public void addCountsTo(Map<UnsettledReason, Integer> counts) {
     entriesByVmId.values().forEach(entry -> counts.merge(entry.reason, 1, Integer::sum));
   }
 
--- a/src/main/java/fordridge/machine/VmExecutions.java
+++ b/src/main/java/fordridge/machine/VmExecutions.java
@@ -150,7 +150,7 @@
         .terminated(termination, now)
         .ifPresentOrElse(
             attempt -> listener.attemptEnded(attempt, outcome, termination.reason()),
-            () -> listener.unknownVmEnded(termination, machine));
+            () -> listener.unknownVmTerminated(termination, machine));
   }
 
   // Requests from clients
--- a/src/main/java/fordridge/machine/VmTermination.java
+++ b/src/main/java/fordridge/machine/VmTermination.java
@@ -27,7 +27,7 @@
    */
   boolean provesExecution() {
     return outcomeIfRunning
-        .filter(outcome -> outcome != Outcome.RESET || reason.isOfRunningVm())
+        .filter(outcome -> outcome != Outcome.RESET || reason.impliesVmHasRun())
         .isPresent();
   }
 }
--- a/src/main/java/fordridge/membership/EndpointRotation.java
+++ b/src/main/java/fordridge/membership/EndpointRotation.java
@@ -25,7 +25,7 @@
   public EndpointRotation(int endpointCount, SeededRandom random) {
     this.endpointCount = endpointCount;
     this.random = random;
-    current = (int) (random.next() * endpointCount);
+    current = (int) (random.nextDouble() * endpointCount);
   }
 
   /** The index of the current endpoint. */
@@ -47,7 +47,8 @@
   public Duration failed() {
     consecutiveFailures++;
     current = (current + 1) % endpointCount;
-    double jitter = consecutiveFailures < endpointCount ? random.next() : 0.5 + random.next() / 2;
+    double jitter =
+        consecutiveFailures < endpointCount ? random.nextDouble() : 0.5 + random.nextDouble() / 2;
     return Duration.ofNanos((long) (backoffNanos() * jitter));
   }
 
--- a/src/main/java/fordridge/model/MachineLists.java
+++ b/src/main/java/fordridge/model/MachineLists.java
@@ -38,7 +38,7 @@
 
   /** Draws a machine with probability in proportion to headroom; null for no machines. */
   public static Machine drawByHeadroom(List<Machine> machines, SeededRandom random) {
-    double remaining = random.next() * totalHeadroom(machines);
+    double remaining = random.nextDouble() * totalHeadroom(machines);
     Machine drawn = null;
     for (int i = 0; i < machines.size() && remaining >= 0; i++) {
       drawn = machines.get(i);
--- a/src/main/java/fordridge/model/PlacementAttempt.java
+++ b/src/main/java/fordridge/model/PlacementAttempt.java
@@ -55,7 +55,7 @@
      * Whether this reason can only end a VM that has run; a VM that has not run yet is rejected
      * instead.
      */
-    public boolean isOfRunningVm() {
+    public boolean impliesVmHasRun() {
       return this == EVICTED || this == PREEMPTED || this == DRAINED;
     }
   }
--- a/src/main/java/fordridge/model/PriorityClass.java
+++ b/src/main/java/fordridge/model/PriorityClass.java
@@ -13,7 +13,7 @@
  * @param startObjective latency objective of a start, from request to running
  * @param startDeadline time after which the client gives up
  * @param requiredKind the only kind of machine that the VMs can run on, or null
- * @param spreadDomain domain in which the number of VMs of one service is limited
+ * @param spreadScope domain in which the number of VMs of one service is limited
  * @param maxPerDomain highest number of VMs of one service in a spread domain
  * @param fullSpeedUtilization core utilization of a machine up to which VMs run at full speed
  * @param degradationSpan further utilization over which their speed falls to 0
@@ -23,12 +23,12 @@
     String name,
     int rank,
     RetrySafety retrySafety,
-    TopologyDomain idempotencyScope,
+    TopologyScope idempotencyScope,
     Duration deduplicationWindow,
     Duration startObjective,
     Duration startDeadline,
     String requiredKind,
-    TopologyDomain spreadDomain,
+    TopologyScope spreadScope,
     int maxPerDomain,
     double fullSpeedUtilization,
     double degradationSpan,
@@ -41,13 +41,13 @@
 
   /** Whether the number of VMs of a service is not limited in any domain. */
   public boolean isSpreadUnlimited() {
-    return spreadDomain == TopologyDomain.NONE;
+    return spreadScope == TopologyScope.NONE;
   }
 
   /** Whether all machines of the cluster share its idempotency keys. */
   public boolean isIdempotentWithKeyAnywhere() {
     return retrySafety == RetrySafety.IDEMPOTENT_WITH_KEY
-        && idempotencyScope == TopologyDomain.CLUSTER;
+        && idempotencyScope == TopologyScope.CLUSTER;
   }
 
   /** Whether a VM must not be offered again after an attempt that may have run it. */
--- a/src/main/java/fordridge/model/SchedulerSettings.java
+++ b/src/main/java/fordridge/model/SchedulerSettings.java
@@ -22,10 +22,10 @@
     List<PriorityClass> priorityClasses,
     List<String> tenants,
     Duration detectionTimeout,
-    Capacity capacity,
+    CapacitySettings capacity,
     Discovery discovery,
     Attempts attempts,
-    SlowStart slowStart,
+    SlowStartSettings slowStart,
     Monitoring monitoring,
     Prices prices) {
 
@@ -96,7 +96,7 @@
    * @param reportBasis what load reports count
    * @param meanVmCores cores that a VM requests on average
    */
-  public record Capacity(
+  public record CapacitySettings(
       double acceptedCoresFactor,
       double acceptedMemoryFactor,
       boolean listsFreeCapacity,
@@ -143,7 +143,7 @@
    * @param initialShare share of {@code attemptsPerSpan} allowed at first
    * @param attemptsPerSpan attempts of all schedulers that a machine withstands per span
    */
-  public record SlowStart(
+  public record SlowStartSettings(
       Duration warmUpTime, Duration overloadSpan, double initialShare, double attemptsPerSpan) {}
 
   /** Load reports, probes, and gossip between schedulers. */
--- a/src/main/java/fordridge/model/SchedulerState.java
+++ b/src/main/java/fordridge/model/SchedulerState.java
@@ -91,13 +91,13 @@
   public final PendingQueue pending = new PendingQueue();
 
   /** VMs that have not been tried since they arrived or since their last attempt ended. */
-  public final Deque<Vm> untried = new ArrayDeque<>();
+  public final Deque<Vm> undecidedVms = new ArrayDeque<>();
 
   /** VMs found to be unplaceable since capacity last may have grown. */
   public final UnplaceableVms unplaceable = new UnplaceableVms();
 
   /** Whether capacity may have grown since the pending VMs were last tried. */
-  public boolean capacityMayHaveGrown;
+  public boolean isPendingRecheckDue;
 
   /** The pending VM after which trying continues, null to start from the first. */
   public Vm lastTriedPending;
@@ -128,14 +128,14 @@
   }
 
   /** Capacity may have grown: pending and unplaceable VMs are to be tried again. */
-  public void capacityMayHaveGrown() {
-    capacityMayHaveGrown = true;
+  public void requestPendingRecheck() {
+    isPendingRecheckDue = true;
     unplaceable.clear();
   }
 
   /** Records that the pending VMs are tried now. */
   public void pendingTried() {
-    capacityMayHaveGrown = false;
+    isPendingRecheckDue = false;
     pendingTriedAt = now;
   }
 
@@ -246,7 +246,7 @@
    * at this instant.
    */
   public boolean mayPlacePending() {
-    return capacityMayHaveGrown && !pending.isEmpty() && !now.equals(pendingTriedAt);
+    return isPendingRecheckDue && !pending.isEmpty() && !now.equals(pendingTriedAt);
   }
 
   /**
@@ -407,7 +407,7 @@
    * Records that the machine confirmed the end of a VM whose attempt had ended without its
    * confirmation.
    */
-  public void endConfirmed(String vmId, Machine machine) {
+  public void vmEndConfirmed(String vmId, Machine machine) {
     unconfirmedEnds.confirmed(vmId, machine);
   }
 
@@ -449,9 +449,9 @@
    * Whether the inventory of any machine in the same domain is awaited, so that unknown VMs may run
    * there.
    */
-  public boolean isInventoryAwaitedNear(Machine machine, TopologyDomain domain) {
+  public boolean isInventoryAwaitedNear(Machine machine, TopologyScope scope) {
     for (Machine awaited : inventoryAwaited) {
-      if (domain.contains(machine, awaited)) {
+      if (scope.contains(machine, awaited)) {
         return true;
       }
     }
@@ -459,10 +459,10 @@
   }
 
   /** Number of this scheduler's VMs of a service in the machine's domain. */
-  public int countHosted(long service, TopologyDomain domain, Machine machine) {
+  public int countHosted(long service, TopologyScope scope, Machine machine) {
     int count = 0;
     for (Machine host : hostsByService.getOrDefault(service, Set.of())) {
-      if (domain.contains(machine, host)) {
+      if (scope.contains(machine, host)) {
         count += host.hostedServices.get(service).count;
       }
     }
--- a/src/main/java/fordridge/model/SeededRandom.java
+++ b/src/main/java/fordridge/model/SeededRandom.java
@@ -21,7 +21,7 @@
   }
 
   /** The next number. */
-  public double next() {
+  public double nextDouble() {
     input.clear();
     input.putLong(seed).putLong(draws++);
     crc.reset();
--- a/src/main/java/fordridge/model/SettingsValues.java
+++ b/src/main/java/fordridge/model/SettingsValues.java
@@ -73,7 +73,7 @@
   }
 
   /** The number at an index of a list. */
-  public double item(String name, int index, double defaultValue) {
+  public double numberAt(String name, int index, double defaultValue) {
     List<?> list = list(name);
     return index >= 0 && index < list.size() && list.get(index) instanceof Number number
         ? number.doubleValue()
--- a/src/main/java/fordridge/model/TopologyDomain.java
+++ b/src/main/java/fordridge/model/TopologyScope.java
@@ -1,7 +1,7 @@
 package fordridge.model;
 
 /** A level of the topology, at which machines belong to the same domain or not. */
-public enum TopologyDomain {
+public enum TopologyScope {
   /** No two machines are in the same domain; as a spread domain, this means no limit. */
   NONE,
   MACHINE,
--- a/src/main/java/fordridge/model/Vm.java
+++ b/src/main/java/fordridge/model/Vm.java
@@ -98,9 +98,9 @@
   }
 
   /** Whether all attempts that may have run the VM were in the machine's domain. */
-  public boolean mayHaveRunOnlyInDomainOf(Machine machine, TopologyDomain domain) {
+  public boolean mayHaveRunOnlyInDomainOf(Machine machine, TopologyScope scope) {
     for (PlacementAttempt attempt : attempts) {
-      if (!attempt.hasNeverRun() && !domain.contains(machine, attempt.machine)) {
+      if (!attempt.hasNeverRun() && !scope.contains(machine, attempt.machine)) {
         return false;
       }
     }
@@ -108,7 +108,7 @@
   }
 
   /** Number of attempts without an outcome, which includes the attempt of a running VM. */
-  public int inFlightAttempts() {
+  public int inFlightAttemptCount() {
     int count = 0;
     for (PlacementAttempt attempt : attempts) {
       if (attempt.isInFlight()) {
--- a/src/main/java/fordridge/observability/Metrics.java
+++ b/src/main/java/fordridge/observability/Metrics.java
@@ -94,9 +94,9 @@
     offers.increment();
   }
 
-  /** Counts an offer that could no longer be sent after the decision; the obstacle is a tag. */
-  public void offerWithdrawn(String obstacle) {
-    registry.counter("fordridge.offers.withdrawn", "obstacle", obstacle).increment();
+  /** Counts an offer that could no longer be sent after the decision; the reason is a tag. */
+  public void offerWithdrawn(String reason) {
+    registry.counter("fordridge.offers.withdrawn", "obstacle", reason).increment();
   }
 
   /** Counts a finished placement attempt by its outcome. */
--- a/src/main/java/fordridge/runtime/EventLoopLag.java
+++ b/src/main/java/fordridge/runtime/EventLoopLag.java
@@ -22,7 +22,7 @@
   }
 
   /** Records the lag of the event loop at this time. */
-  public void seen(Duration lag, Duration at) {
+  public void record(Duration lag, Duration at) {
     rotate(at);
     if (lag.compareTo(longestInWindow) > 0) {
       longestInWindow = lag;
@@ -30,7 +30,7 @@
   }
 
   /** Returns the time by which a client's deadline is to be shortened. */
-  public Duration allowance(Duration at) {
+  public Duration maxRecentLag(Duration at) {
     rotate(at);
     return longestInWindow.compareTo(longestInPreviousWindow) > 0
         ? longestInWindow
--- a/src/main/java/fordridge/runtime/EventSequencer.java
+++ b/src/main/java/fordridge/runtime/EventSequencer.java
@@ -47,9 +47,9 @@
   /**
    * Runs {@code reader} before an input if it last ran at least {@code interval} ago, so that each
    * input is based on recent events of the watch however many inputs are waiting. The reader may
-   * enter inputs.
+   * submit inputs.
    */
-  public void watch(Runnable reader, Duration interval) {
+  public void setWatchReader(Runnable reader, Duration interval) {
     watchReader = reader;
     watchReadInterval = interval;
   }
@@ -63,13 +63,13 @@
    * Runs an input and all inputs that result from it; returns false if the input was queued because
    * another one is running.
    */
-  public boolean enter(Runnable input) {
+  public boolean submit(Runnable input) {
     readWatchIfDue();
-    return enterFromWatch(input);
+    return submitFromWatch(input);
   }
 
-  /** Same as {@link #enter}, for an event of the watch: the watch is not read before it. */
-  public boolean enterFromWatch(Runnable input) {
+  /** Same as {@link #submit}, for an event of the watch: the watch is not read before it. */
+  public boolean submitFromWatch(Runnable input) {
     queue.addLast(input);
     if (isRunning) {
       return false;
@@ -84,9 +84,9 @@
 
   /**
    * Queues an input after the one that is running. If none is running, it runs with the next input
-   * that is entered.
+   * that is submitted.
    */
-  public void behind(Runnable input) {
+  public void enqueue(Runnable input) {
     queue.addLast(input);
   }
 
--- a/src/main/java/fordridge/runtime/MachineStartTimes.java
+++ b/src/main/java/fordridge/runtime/MachineStartTimes.java
@@ -70,7 +70,7 @@
   }
 
   /** Removes a machine that left the list; it counts as new if it comes back. */
-  public void forget(String machineId) {
+  public void machineRemoved(String machineId) {
     startsByMachine.remove(machineId);
   }
 }
--- a/src/main/java/fordridge/runtime/SchedulerInputs.java
+++ b/src/main/java/fordridge/runtime/SchedulerInputs.java
@@ -49,24 +49,24 @@
    * Returns an id for a machine's name. It has to be the same at each scheduler: the schedulers use
    * it to take turns at a machine in slow start.
    */
-  public static long number(String name) {
+  public static long machineId(String name) {
     CRC32 crc = new CRC32();
     crc.update(name.getBytes(StandardCharsets.UTF_8));
     return crc.getValue();
   }
 
   /** Returns the VM with this id, or null if it is not known. */
-  public Vm vm(String id) {
+  public Vm findVm(String id) {
     return vms.get(id);
   }
 
   /** Adds a VM that will be passed to the scheduler. */
-  public void add(Vm vm) {
+  public void addVm(Vm vm) {
     vms.put(vm.id, vm);
   }
 
   /** The number of known VMs. */
-  public int size() {
+  public int vmCount() {
     return vms.size();
   }
 
@@ -82,8 +82,8 @@
    * Removes a VM that is finished and has no attempt in flight. Returns false if it is not finished
    * or not known, which includes that another VM has its id by now.
    */
-  public boolean forget(Vm vm) {
-    return vm.isFinished && vm.inFlightAttempts() == 0 && vms.remove(vm.id, vm);
+  public boolean removeIfFinished(Vm vm) {
+    return vm.isFinished && vm.inFlightAttemptCount() == 0 && vms.remove(vm.id, vm);
   }
 
   /** Returns the machine with this key, which is created on the first call. */
@@ -92,12 +92,13 @@
   }
 
   /** Returns the machine with this key, or null if it is not known. */
-  public Machine known(K key) {
+  public Machine findMachine(K key) {
     return machines.get(key);
   }
 
   /** Applies a machine list: a complete one or a list of changes, possibly out of date. */
-  public void list(boolean isComplete, boolean mayBeStale, List<ListedMachine<K>> listed) {
+  public void machineListReceived(
+      boolean isComplete, boolean mayBeStale, List<ListedMachine<K>> listed) {
     scheduler.machineListStarted(isComplete, mayBeStale);
     for (ListedMachine<K> entry : listed) {
       Machine machine = machine(entry.key);
@@ -115,7 +116,7 @@
    * Applies a load report, before the input that it came with. {@code utilization} is the busy
    * share of the cores; values that were not reported are NaN.
    */
-  public void report(
+  public void loadReported(
       Machine machine, double spareCores, double spareMemory, double utilization, Duration now) {
     machine.spareCores = spareCores;
     machine.spareMemory = spareMemory;
--- a/src/main/java/fordridge/scheduling/CandidateFilter.java
+++ b/src/main/java/fordridge/scheduling/CandidateFilter.java
@@ -20,7 +20,7 @@
         && isOpenToClass(settings, machine)
         && !actions.isSendQueueFull(machine)
         && retries.allowsMachine(vm, settings, machine)
-        && keepsSpread(vm, settings, machine, 0)
+        && isWithinSpreadLimit(vm, settings, machine, 0)
         && actions.constraintPenalty(vm, machine) < Double.POSITIVE_INFINITY;
   }
 
@@ -29,48 +29,48 @@
    * The attempt is already counted among the VMs of its service and in the slow-start quota; its
    * own count is left out of these checks.
    */
-  Optional<OfferObstacle> findObstacle(PlacementAttempt attempt) {
-    Optional<OfferObstacle> requestObstacle = findRequestObstacle(attempt);
-    return requestObstacle.isPresent() ? requestObstacle : findMachineObstacle(attempt);
+  Optional<NotSentReason> findNotSentReason(PlacementAttempt attempt) {
+    Optional<NotSentReason> requestReason = findRequestNotSentReason(attempt);
+    return requestReason.isPresent() ? requestReason : findMachineNotSentReason(attempt);
   }
 
-  private Optional<OfferObstacle> findRequestObstacle(PlacementAttempt attempt) {
+  private Optional<NotSentReason> findRequestNotSentReason(PlacementAttempt attempt) {
     if (!attempt.isInFlight()) {
-      return Optional.of(OfferObstacle.ATTEMPT_ENDED);
+      return Optional.of(NotSentReason.ATTEMPT_ENDED);
     }
     if (attempt.vm.isFinished) {
-      return Optional.of(OfferObstacle.CLIENT_LEFT);
+      return Optional.of(NotSentReason.CLIENT_LEFT);
     }
     if (state.isPast(attempt.vm.deadline)) {
-      return Optional.of(OfferObstacle.DEADLINE_PASSED);
+      return Optional.of(NotSentReason.DEADLINE_PASSED);
     }
-    if (!retries.allowsResend(attempt)) {
-      return Optional.of(OfferObstacle.WINDOW_CLOSED);
+    if (!retries.stillAllowsSend(attempt)) {
+      return Optional.of(NotSentReason.WINDOW_CLOSED);
     }
-    return state.isStopping ? Optional.of(OfferObstacle.SHUTDOWN) : Optional.empty();
+    return state.isStopping ? Optional.of(NotSentReason.SHUTDOWN) : Optional.empty();
   }
 
-  private Optional<OfferObstacle> findMachineObstacle(PlacementAttempt attempt) {
+  private Optional<NotSentReason> findMachineNotSentReason(PlacementAttempt attempt) {
     Machine machine = attempt.machine;
     PriorityClass settings = state.settingsOf(attempt.vm);
     if (machine.lifecycle != Machine.Lifecycle.LIVE) {
-      return Optional.of(OfferObstacle.MACHINE_NOT_LIVE);
+      return Optional.of(NotSentReason.MACHINE_NOT_LIVE);
     }
     if (!settings.allowsKind(machine.kind)) {
-      return Optional.of(OfferObstacle.KIND_NOT_ALLOWED);
+      return Optional.of(NotSentReason.KIND_NOT_ALLOWED);
     }
     if (!state.isPast(machine.ejectedUntil)) {
-      return Optional.of(OfferObstacle.MACHINE_EJECTED);
+      return Optional.of(NotSentReason.MACHINE_EJECTED);
     }
     if (outliers.isBackedOff(attempt.vm, machine)) {
-      return Optional.of(OfferObstacle.BACKED_OFF);
+      return Optional.of(NotSentReason.BACKED_OFF);
     }
-    if (!keepsSpread(attempt.vm, settings, machine, 1)) {
-      return Optional.of(OfferObstacle.SPREAD_LIMIT);
+    if (!isWithinSpreadLimit(attempt.vm, settings, machine, 1)) {
+      return Optional.of(NotSentReason.SPREAD_LIMIT);
     }
     return slowStart.confirmSend(attempt)
         ? Optional.empty()
-        : Optional.of(OfferObstacle.SLOW_START);
+        : Optional.of(NotSentReason.SLOW_START);
   }
 
   /**
@@ -92,10 +92,11 @@
    *
    * @param ownCounted number of counted attempts that belong to this VM
    */
-  private boolean keepsSpread(Vm vm, PriorityClass settings, Machine machine, int ownCounted) {
+  private boolean isWithinSpreadLimit(
+      Vm vm, PriorityClass settings, Machine machine, int ownCounted) {
     return settings.isSpreadUnlimited()
-        || (state.countHosted(vm.service, settings.spreadDomain(), machine) - ownCounted
+        || (state.countHosted(vm.service, settings.spreadScope(), machine) - ownCounted
                 < settings.maxPerDomain()
-            && !state.isInventoryAwaitedNear(machine, settings.spreadDomain()));
+            && !state.isInventoryAwaitedNear(machine, settings.spreadScope()));
   }
 }
--- a/src/main/java/fordridge/scheduling/CapacityModel.java
+++ b/src/main/java/fordridge/scheduling/CapacityModel.java
@@ -35,7 +35,7 @@
    * machines than necessary.
    */
   void start() {
-    SchedulerSettings.Capacity settings = state.settings.capacity();
+    SchedulerSettings.CapacitySettings settings = state.settings.capacity();
     usage.usedCoresRatio =
         RunningMean.withInitialValue(1 / settings.acceptedCoresFactor(), USAGE_WINDOW_SAMPLES);
     usage.usedMemoryRatio =
@@ -179,7 +179,7 @@
   private double usedCores(Machine machine) {
     if (!hasFreshReport(machine)) {
       double requested = machine.requestedCores();
-      return estimate(usage.meanUsedCores, machine.cores, requested, usage.usedPerRequestedCore);
+      return estimateUse(usage.meanUsedCores, machine.cores, requested, usage.usedPerRequestedCore);
     }
     double used = (machine.cores - machine.spareCores) * usedPerReported(usage.usedCoresRatio);
     return Double.isNaN(machine.utilization)
@@ -191,7 +191,8 @@
     double requested = machine.requestedMemory();
     return hasFreshReport(machine)
         ? (machine.memory - machine.spareMemory) * usedPerReported(usage.usedMemoryRatio)
-        : estimate(usage.meanUsedMemory, machine.memory, requested, usage.usedPerRequestedMemory);
+        : estimateUse(
+            usage.meanUsedMemory, machine.memory, requested, usage.usedPerRequestedMemory);
   }
 
   /** Factor from reported to used resources; it differs from 1 where reports count requests. */
@@ -204,7 +205,8 @@
    * the machine's requests at the mean use of a request, weighted by the share of machines that
    * report.
    */
-  private double estimate(double meanUsed, double size, double requested, double usedPerRequested) {
+  private double estimateUse(
+      double meanUsed, double size, double requested, double usedPerRequested) {
     double reportingShare = usage.reportingShare;
     return reportingShare * meanUsed * size + (1 - reportingShare) * requested * usedPerRequested;
   }
--- a/src/main/java/fordridge/scheduling/HealthChecker.java
+++ b/src/main/java/fordridge/scheduling/HealthChecker.java
@@ -67,7 +67,7 @@
    * sent per VM request. The search goes through all machines, so it is repeated only after some
    * time.
    */
-  void probeStalest() {
+  void probeStalestMachine() {
     Duration staleAge = state.detectionTimeouts(1.0 / 2);
     state.nextProbeAt = state.now.plus(scale(staleAge, 1.0 / 8));
     if (!state.settings.monitoring().probesReportLoad()) {
@@ -75,7 +75,7 @@
     }
     // Starts at a random machine: otherwise all schedulers would probe the first machines of the
     // list and never the others.
-    int startIndex = (int) (state.random.next() * state.machines.size());
+    int startIndex = (int) (state.random.nextDouble() * state.machines.size());
     Machine stalest =
         state.findOldestReport(startIndex, staleAge, machine -> mayProbe(machine, staleAge));
     if (stalest != null && state.probeCount < state.requestCount) {
--- a/src/main/java/fordridge/scheduling/MachineSelector.java
+++ b/src/main/java/fordridge/scheduling/MachineSelector.java
@@ -37,11 +37,11 @@
     // penalty is 0.
     double lowestPenalty = min(machines, m -> actions.constraintPenalty(vm, m));
     machines = prefer(machines, m -> actions.constraintPenalty(vm, m) <= lowestPenalty);
-    machines = shareOut(vm, prefer(machines, this::isWithinLimit), machines);
+    machines = preferUpToHeadroom(vm, prefer(machines, this::isWithinLimit), machines);
     if (settings.requiredKind() == null) {
-      machines = spareRequiredKinds(machines);
+      machines = avoidRequiredKinds(machines);
     }
-    machines = prefer(machines, m -> hasProgram(m, vm.service));
+    machines = prefer(machines, m -> isWarmFor(m, vm.service));
     if (state.settings.prices().otherZone() > 0) {
       machines = prefer(machines, m -> m.zone.equals(state.settings.zone()));
     }
@@ -59,7 +59,7 @@
    * Whether the machine hosts the service or did so within the detection timeout, so that a start
    * there is warm.
    */
-  boolean hasProgram(Machine machine, long service) {
+  boolean isWarmFor(Machine machine, long service) {
     return state.isHostedWithin(state.settings.detectionTimeout(), machine, service);
   }
 
@@ -93,7 +93,7 @@
    */
   private List<Machine> preferredForService(long service, List<Machine> machines) {
     List<Machine> highestRanked = RendezvousHashing.highestRanked(service, machines, SAMPLE_SIZE);
-    return prefer(machines, m -> hasProgram(m, service) || highestRanked.contains(m));
+    return prefer(machines, m -> isWarmFor(m, service) || highestRanked.contains(m));
   }
 
   private boolean isInUse(Machine machine) {
@@ -105,7 +105,8 @@
    * capacity.
    */
   private List<Machine> withCapacity(Vm vm, List<Machine> machines) {
-    List<Machine> regular = shareOut(vm, capacity.withRegularCapacity(vm, machines), List.of());
+    List<Machine> regular =
+        preferUpToHeadroom(vm, capacity.withRegularCapacity(vm, machines), List.of());
     return regular.isEmpty() ? capacity.withOpportunisticCapacity(vm, machines) : regular;
   }
 
@@ -115,16 +116,19 @@
    * preferred machines have free, the probability of using them falls, so that all schedulers
    * together do not overfill them.
    */
-  private List<Machine> shareOut(Vm vm, List<Machine> preferred, List<Machine> alternative) {
+  private List<Machine> preferUpToHeadroom(
+      Vm vm, List<Machine> preferred, List<Machine> alternative) {
     double headroom = totalHeadroom(preferred);
-    return state.random.next() * coresPlacedUnseen(vm) < headroom ? preferred : alternative;
+    return state.random.nextDouble() * coresPlacedByOthersSinceList(vm) < headroom
+        ? preferred
+        : alternative;
   }
 
   /**
    * Estimated cores that other schedulers placed since the state that the list shows, if each VM is
    * replaced once in a mean lifetime.
    */
-  private double coresPlacedUnseen(Vm vm) {
+  private double coresPlacedByOthersSinceList(Vm vm) {
     double schedulers = state.schedulerCount;
     var listAge = state.since(state.listReceivedAt).plus(state.detectionTimeouts(1.0 / 3));
     double rate = state.usage.requestedCores / state.classOf(vm).lifetimeSeconds.value();
@@ -139,7 +143,7 @@
    * Leaves out machines of kinds that some class requires, unless the other machines are fuller on
    * average.
    */
-  private List<Machine> spareRequiredKinds(List<Machine> machines) {
+  private List<Machine> avoidRequiredKinds(List<Machine> machines) {
     List<Machine> others = prefer(machines, m -> !state.settings.isKindRequired(m.kind));
     double utilization = mean(machines, capacity::utilization);
     return mean(others, capacity::utilization) <= utilization ? others : machines;
@@ -153,7 +157,7 @@
    * headroom as fast as those with much.
    */
   private Machine selectByPressure(Vm vm, List<Machine> machines) {
-    boolean isDrawn = hasProgram(machines.get(0), vm.service);
+    boolean isDrawn = isWarmFor(machines.get(0), vm.service);
     var sample =
         isDrawn ? machines : RendezvousHashing.highestRanked(vm.service, machines, SAMPLE_SIZE);
     Machine best = null;
--- a/src/main/java/fordridge/scheduling/OfferObstacle.java
+++ b/src/main/java/fordridge/scheduling/NotSentReason.java
@@ -1,7 +1,7 @@
 package fordridge.scheduling;
 
 /** Why an attempt that was decided earlier must not be sent any more. */
-public enum OfferObstacle {
+public enum NotSentReason {
   /** The attempt has ended. */
   ATTEMPT_ENDED,
   /** The client has left or already has its final response. */
--- a/src/main/java/fordridge/scheduling/RetryPolicy.java
+++ b/src/main/java/fordridge/scheduling/RetryPolicy.java
@@ -67,7 +67,7 @@
   /**
    * Whether an attempt that was decided earlier may still be sent, given the attempts before it.
    */
-  boolean allowsResend(PlacementAttempt attempt) {
+  boolean stillAllowsSend(PlacementAttempt attempt) {
     PriorityClass settings = state.settingsOf(attempt.vm);
     PlacementAttempt firstRun = attempt.vm.firstAttemptThatMayHaveRunBefore(attempt.number);
     return firstRun == null || settings.isIdempotent() || isDeduplicated(firstRun, settings);
--- a/src/main/java/fordridge/scheduling/Scheduler.java
+++ b/src/main/java/fordridge/scheduling/Scheduler.java
@@ -62,10 +62,10 @@
             new Rule(state::mustDropPending, () -> giveUp(state.pending.takeFirst())),
             // Placing comes before giving up: a VM that can be placed is not rejected.
             new Rule(
-                () -> !state.untried.isEmpty() && actions.isInputRead(),
-                () -> placeOrEnqueue(state.untried.remove())),
-            new Rule(() -> state.mayPlacePending() && actions.isInputRead(), this::tryPending),
-            new Rule(() -> state.isPast(state.nextProbeAt), health::probeStalest),
+                () -> !state.undecidedVms.isEmpty() && actions.isAllInputRead(),
+                () -> placeOrEnqueue(state.undecidedVms.remove())),
+            new Rule(() -> state.mayPlacePending() && actions.isAllInputRead(), this::tryPending),
+            new Rule(() -> state.isPast(state.nextProbeAt), health::probeStalestMachine),
             new Rule(state::needsTimer, this::setTimer));
   }
 
@@ -87,7 +87,7 @@
   /** Applies changed settings; known priority classes stay and keep their learned values. */
   public void settingsChanged(SchedulerSettings settings) {
     state.apply(settings, Scheduler::initialClassState);
-    capacityMayHaveGrown();
+    recheckPendingVms();
   }
 
   /** State of a new priority class, with estimates from its settings. */
@@ -122,7 +122,7 @@
   public void machineListCompleted() {
     state.listCompleted();
     refreshMeans();
-    capacityMayHaveGrown();
+    recheckPendingVms();
   }
 
   /** The machine list could not be received; it is requested again after a delay. */
@@ -137,12 +137,12 @@
   public void vmRequested(Vm vm) {
     state.requestCount++;
     state.classOf(vm).requestCount++;
-    state.untried.add(vm);
+    state.undecidedVms.add(vm);
     rules.apply();
   }
 
   /** All input from peers has been read: decisions that waited for it are made. */
-  public void inputRead() {
+  public void allInputRead() {
     rules.apply();
   }
 
@@ -151,8 +151,8 @@
    * the current state; returns what forbids it. If nothing does, the attempt counts as sent now;
    * otherwise the caller has to end it as not sent.
    */
-  public Optional<OfferObstacle> confirmSend(PlacementAttempt attempt) {
-    return candidates.findObstacle(attempt);
+  public Optional<NotSentReason> confirmSend(PlacementAttempt attempt) {
+    return candidates.findNotSentReason(attempt);
   }
 
   /**
@@ -181,7 +181,7 @@
   /** The machine has sent its inventory and its VMs were adopted, or the machine is gone. */
   public void inventoryReceived(Machine machine) {
     state.inventoryReceived(machine);
-    capacityMayHaveGrown();
+    recheckPendingVms();
   }
 
   /** The machine accepted the VM. */
@@ -191,7 +191,7 @@
     if (state.settings.attempts().isRunningWhenAccepted()) {
       recordStart(attempt);
     }
-    capacityMayHaveGrown();
+    recheckPendingVms();
   }
 
   /** An accepted VM runs. Reported by machines that accept VMs before they run. */
@@ -230,9 +230,9 @@
   }
 
   /** The client no longer waits for the VM. */
-  public void clientLeft(Vm vm) {
+  public void requestAbandoned(Vm vm) {
     state.finish(vm);
-    state.untried.remove(vm);
+    state.undecidedVms.remove(vm);
     rules.apply();
   }
 
@@ -248,25 +248,25 @@
     outliers.attemptEnded(attempt, reason);
     if (isFinal || attempt.wasAccepted()) {
       state.finish(vm);
-    } else if (!vm.isFinished && vm.inFlightAttempts() == 0) {
-      state.untried.add(vm);
+    } else if (!vm.isFinished && vm.inFlightAttemptCount() == 0) {
+      state.undecidedVms.add(vm);
     }
-    capacityMayHaveGrown();
+    recheckPendingVms();
   }
 
   /**
    * A machine reported that a VM no longer runs whose attempt had ended without the machine's
    * confirmation.
    */
-  public void endConfirmed(String vmId, Machine machine) {
-    state.endConfirmed(vmId, machine);
-    capacityMayHaveGrown();
+  public void vmEndConfirmed(String vmId, Machine machine) {
+    state.vmEndConfirmed(vmId, machine);
+    recheckPendingVms();
   }
 
   /** A machine reported its load; null if capacity may have grown without a report of a machine. */
   public void loadReported(Machine machine) {
     health.loadReported(machine);
-    capacityMayHaveGrown();
+    recheckPendingVms();
   }
 
   /**
@@ -283,7 +283,7 @@
       outliers.recordFault(machine, 1);
       health.gossip(GossipCodec.unreachable(machine));
     }
-    capacityMayHaveGrown();
+    recheckPendingVms();
   }
 
   /**
@@ -295,7 +295,7 @@
     Machine machine = state.machineOf(message);
     if (message instanceof GossipMessage.LoadReported load) {
       machine.loadGossiped(load, state.now);
-      capacityMayHaveGrown();
+      recheckPendingVms();
     } else if (message instanceof GossipMessage.Unreachable) {
       machine.ejectUntil(state.inDetectionTimeouts(1.0 / 3));
     } else if (message instanceof GossipMessage.TenantClassRejected rejected) {
@@ -307,7 +307,7 @@
   /** The number of schedulers that share the cluster changed. */
   public void schedulerCountChanged(int schedulers) {
     state.schedulerCount = schedulers;
-    capacityMayHaveGrown();
+    recheckPendingVms();
   }
 
   /**
@@ -322,11 +322,11 @@
   /** The scheduled timer fired. */
   public void timerFired() {
     state.timerAt = null;
-    capacityMayHaveGrown();
+    recheckPendingVms();
   }
 
-  private void capacityMayHaveGrown() {
-    state.capacityMayHaveGrown();
+  private void recheckPendingVms() {
+    state.requestPendingRecheck();
     rules.apply();
   }
 
@@ -405,7 +405,7 @@
   }
 
   private void sendAttempt(PlacementAttempt attempt) {
-    attempt.isWarmStart = selector.hasProgram(attempt.machine, attempt.vm.service);
+    attempt.isWarmStart = selector.isWarmFor(attempt.machine, attempt.vm.service);
     attempt.timeout = retries.timeout(attempt);
     state.attemptSent(attempt);
     slowStart.attemptSent(attempt);
@@ -446,7 +446,7 @@
     state.pendingTried();
     state.pending.takeAllDue(state.now, this::enqueueOrGiveUp);
     Vm vm = state.pending.next(state.lastTriedPending);
-    while (vm != null && actions.isInputRead()) {
+    while (vm != null && actions.isAllInputRead()) {
       if (!state.unplaceable.covers(vm) && place(vm)) {
         state.pending.remove(vm);
       }
@@ -457,7 +457,7 @@
       state.lastTriedPending = null;
     } else {
       // The remaining groups are tried once the input has been read.
-      state.capacityMayHaveGrown();
+      state.requestPendingRecheck();
     }
   }
 
--- a/src/main/java/fordridge/scheduling/SchedulerActions.java
+++ b/src/main/java/fordridge/scheduling/SchedulerActions.java
@@ -15,9 +15,9 @@
 public interface SchedulerActions {
   /**
    * Whether all input that peers had sent shortly before has been read, so that decisions may be
-   * made now. If not, {@link Scheduler#inputRead} has to be called once it has.
+   * made now. If not, {@link Scheduler#allInputRead} has to be called once it has.
    */
-  default boolean isInputRead() {
+  default boolean isAllInputRead() {
     return true;
   }
 
--- a/src/main/java/fordridge/scheduling/SchedulerSettingsReader.java
+++ b/src/main/java/fordridge/scheduling/SchedulerSettingsReader.java
@@ -9,7 +9,7 @@
 import fordridge.model.SchedulerSettings.LoadReportBasis;
 import fordridge.model.SchedulerSettings.LoadReportMode;
 import fordridge.model.SettingsValues;
-import fordridge.model.TopologyDomain;
+import fordridge.model.TopologyScope;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -58,8 +58,8 @@
       kinds.add(
           new MachineKind(
               String.valueOf(names.get(i)),
-              values.item("extra.cpuOfKind", i, 0),
-              values.item("extra.memoryByKind", i, 0)));
+              values.numberAt("extra.cpuOfKind", i, 0),
+              values.numberAt("extra.memoryByKind", i, 0)));
     }
     return kinds;
   }
@@ -76,18 +76,18 @@
   private PriorityClass priorityClass(int index, String prefix) {
     return new PriorityClass(
         values.text(prefix + "name", ""),
-        (int) values.item("extra.precedence", index, 0),
+        (int) values.numberAt("extra.precedence", index, 0),
         retrySafety(values.text(prefix + "semantics", "fragile")),
-        domain(values.text(prefix + "dedupScope", "cell")),
+        topologyScope(values.text(prefix + "dedupScope", "cell")),
         values.micros(prefix + "windowUs", Duration.ZERO),
         values.micros(prefix + "promiseUs", RetryPolicy.DEFAULT_START_OBJECTIVE),
         values.micros(prefix + "giveUpUs", RetryPolicy.DEFAULT_START_DEADLINE),
-        requiredKind((int) values.item("extra.kindByClass", index, NO_KIND)),
-        spreadDomain(index),
-        (int) values.item("extra.classMost", index, Integer.MAX_VALUE),
-        values.item("extra.calmLevel", index, 1),
-        values.item("extra.fadeSpan", index, 0),
-        values.item("extra.startSeconds", index, 0));
+        requiredKind((int) values.numberAt("extra.kindByClass", index, NO_KIND)),
+        spreadScope(index),
+        (int) values.numberAt("extra.classMost", index, Integer.MAX_VALUE),
+        values.numberAt("extra.calmLevel", index, 1),
+        values.numberAt("extra.fadeSpan", index, 0),
+        values.numberAt("extra.startSeconds", index, 0));
   }
 
   private static RetrySafety retrySafety(String value) {
@@ -98,12 +98,12 @@
     };
   }
 
-  private static TopologyDomain domain(String value) {
+  private static TopologyScope topologyScope(String value) {
     return switch (value) {
-      case "machine" -> TopologyDomain.MACHINE;
-      case "zone" -> TopologyDomain.ZONE;
-      case "all" -> TopologyDomain.CLUSTER;
-      default -> TopologyDomain.CELL;
+      case "machine" -> TopologyScope.MACHINE;
+      case "zone" -> TopologyScope.ZONE;
+      case "all" -> TopologyScope.CLUSTER;
+      default -> TopologyScope.CELL;
     };
   }
 
@@ -111,10 +111,10 @@
     return index < 0 ? null : String.valueOf(values.list("kinds").get(index));
   }
 
-  private TopologyDomain spreadDomain(int index) {
+  private TopologyScope spreadScope(int index) {
     List<?> names = values.list("extra.classSpread");
     boolean isLimited = index < names.size() && !names.get(index).equals("off");
-    return isLimited ? domain(String.valueOf(names.get(index))) : TopologyDomain.NONE;
+    return isLimited ? topologyScope(String.valueOf(names.get(index))) : TopologyScope.NONE;
   }
 
   private List<String> tenants() {
@@ -126,8 +126,8 @@
     return tenants;
   }
 
-  private SchedulerSettings.Capacity capacity() {
-    return new SchedulerSettings.Capacity(
+  private SchedulerSettings.CapacitySettings capacity() {
+    return new SchedulerSettings.CapacitySettings(
         values.number("extra.admitCores", 1),
         values.number("extra.memBooking", 1),
         values.flag("extra.freeInList", false),
@@ -152,8 +152,8 @@
         acceptsOnStart ? AcceptanceMode.RUNNING : AcceptanceMode.ADMITTED);
   }
 
-  private SchedulerSettings.SlowStart slowStart() {
-    return new SchedulerSettings.SlowStart(
+  private SchedulerSettings.SlowStartSettings slowStart() {
+    return new SchedulerSettings.SlowStartSettings(
         values.micros("obligations.warmAfterUs", SlowStart.DEFAULT_WARM_UP_TIME),
         values.micros("obligations.overloadForUs", SlowStart.DEFAULT_OVERLOAD_SPAN),
         values.number("obligations.coldFrom", SlowStart.DEFAULT_INITIAL_SHARE),
--- a/src/main/java/fordridge/server/grpc/AttemptOutcomeHandler.java
+++ b/src/main/java/fordridge/server/grpc/AttemptOutcomeHandler.java
@@ -7,7 +7,7 @@
 import fordridge.model.PlacementAttempt.Outcome;
 import fordridge.model.PlacementAttempt.OutcomeReason;
 import fordridge.model.Vm;
-import fordridge.scheduling.OfferObstacle;
+import fordridge.scheduling.NotSentReason;
 import fordridge.scheduling.Scheduler;
 import fordridge.session.ClientResponse;
 import fordridge.session.ClientResponse.Accepted;
@@ -56,9 +56,10 @@
 
   @Override
   public boolean confirmSend(PlacementAttempt attempt) {
-    Optional<OfferObstacle> obstacle = context.scheduler.inputs().scheduler.confirmSend(attempt);
-    obstacle.ifPresent(offerObstacle -> logWithdrawal(attempt, offerObstacle));
-    return obstacle.isEmpty();
+    Optional<NotSentReason> notSentReason =
+        context.scheduler.inputs().scheduler.confirmSend(attempt);
+    notSentReason.ifPresent(reason -> logWithdrawal(attempt, reason));
+    return notSentReason.isEmpty();
   }
 
   @Override
@@ -129,7 +130,7 @@
 
   /** Whether the machine reported that the attempt's VM has run and has ended. */
   private static boolean hasRunAndEnded(Outcome outcome, OutcomeReason reason) {
-    return outcome == Outcome.DONE || (outcome == Outcome.RESET && reason.isOfRunningVm());
+    return outcome == Outcome.DONE || (outcome == Outcome.RESET && reason.impliesVmHasRun());
   }
 
   /**
@@ -149,15 +150,15 @@
     return outcome == Outcome.FULL || outcome == Outcome.UNREACHABLE || outcome == Outcome.NOT_SENT;
   }
 
-  private void logWithdrawal(PlacementAttempt attempt, OfferObstacle obstacle) {
-    context.metrics.offerWithdrawn(obstacle.name().toLowerCase(Locale.ROOT));
+  private void logWithdrawal(PlacementAttempt attempt, NotSentReason reason) {
+    context.metrics.offerWithdrawn(reason.name().toLowerCase(Locale.ROOT));
     context
         .log
         .info()
         .addKeyValue("vm", attempt.vm.id)
         .addKeyValue("attempt", attempt.number)
         .addKeyValue("machine", context.machines.nameOf(attempt.machine))
-        .addKeyValue("obstacle", obstacle)
+        .addKeyValue("obstacle", reason)
         .log("offer not sent");
   }
 
@@ -193,7 +194,7 @@
         () -> {
           if (!attempt.isInFlight()) {
             context.constraints.attemptReleased(attempt);
-            context.scheduler.inputs().scheduler.endConfirmed(attempt.vm.id, attempt.machine);
+            context.scheduler.inputs().scheduler.vmEndConfirmed(attempt.vm.id, attempt.machine);
             String machine = context.machines.nameOf(attempt.machine);
             context.scheduler.loadReported(attempt.machine, machine);
           }
@@ -203,7 +204,7 @@
   @Override
   public void unknownVmReported(ReportedVm reported, Machine machine) {
     MachineHandle handle = context.machines.get(machine);
-    if (context.scheduler.inputs().vm(reported.attemptId().vmId()) != null
+    if (context.scheduler.inputs().findVm(reported.attemptId().vmId()) != null
         || !context.settings().priorityClasses().containsKey(reported.priorityClass())) {
       // Not adopted: either the client requested the VM again before its machine reconnected, so
       // that another VM has this id, or its priority class is no longer configured.
--- a/src/main/java/fordridge/server/grpc/ClientRequestIntake.java
+++ b/src/main/java/fordridge/server/grpc/ClientRequestIntake.java
@@ -155,7 +155,7 @@
         .now()
         .plus(boundedTimeLeft)
         .minus(settings().instance().responseMargin())
-        .minus(context.loop.lagAllowance());
+        .minus(context.loop.maxRecentLag());
   }
 
   private static Duration ofMicros(long micros) {
@@ -193,7 +193,7 @@
       Vm vm, ClientSession session, String name, boolean mayAlreadyRun) {
     boolean isPending = sessions().isPending(session.client(), name);
     if (!mayAlreadyRun || context.machines.isReconciled()) {
-      context.gate.enterWhenRead(InputKind.CLIENT_REQUEST, () -> schedule(vm));
+      context.gate.submitAfterRead(InputKind.CLIENT_REQUEST, () -> schedule(vm));
     } else if (context.loop.now().compareTo(vm.deadline) < 0) {
       context.loop.schedule(
           settings().machineList().pollInterval(),
@@ -255,7 +255,7 @@
 
   private void withdraw(ClientSession session, String name) {
     String id = ClientConnections.vmId(session.client(), name);
-    Vm vm = context.scheduler.inputs().vm(id);
+    Vm vm = context.scheduler.inputs().findVm(id);
     sessions().requestWithdrawn(session, name, context.loop.now());
     unscheduledVms.remove(id);
     withdrawFromGroup(id, vm != null);
@@ -268,7 +268,7 @@
       }
     }
     if (vm.acceptedAttempt == null) {
-      context.scheduler.clientLeft(vm);
+      context.scheduler.requestAbandoned(vm);
       context.forget(vm);
     }
   }
--- a/src/main/java/fordridge/server/grpc/ClusterOperatorView.java
+++ b/src/main/java/fordridge/server/grpc/ClusterOperatorView.java
@@ -38,7 +38,7 @@
 
   @Override
   public Optional<RunningVm> findRunningVm(String id) {
-    Vm vm = context.scheduler.inputs().vm(id);
+    Vm vm = context.scheduler.inputs().findVm(id);
     if (vm == null || vm.attempts.isEmpty()) {
       return Optional.empty();
     }
--- a/src/main/java/fordridge/server/grpc/ConstraintState.java
+++ b/src/main/java/fordridge/server/grpc/ConstraintState.java
@@ -1,10 +1,10 @@
 package fordridge.server.grpc;
 
 import fordridge.constraint.ConstraintIndex;
+import fordridge.constraint.IndivisibleLimitException;
 import fordridge.constraint.MachineTopology;
 import fordridge.constraint.PlacementConstraint;
 import fordridge.constraint.RejectionReason;
-import fordridge.constraint.UnsatisfiableConstraintsException;
 import fordridge.constraint.VmAttributes;
 import fordridge.discovery.MachineListSource;
 import fordridge.model.Machine;
@@ -37,7 +37,7 @@
     this.context = context;
     try {
       index = new ConstraintIndex(List.of(), context.settings().totalSchedulers());
-    } catch (UnsatisfiableConstraintsException e) {
+    } catch (IndivisibleLimitException e) {
       throw new IllegalStateException("an empty set of constraints must be satisfiable", e);
     }
   }
@@ -66,7 +66,7 @@
   void constraintsReceived(List<PlacementConstraint> constraints, int newVersion) {
     try {
       index = index.withConstraints(constraints, context.settings().totalSchedulers());
-    } catch (UnsatisfiableConstraintsException e) {
+    } catch (IndivisibleLimitException e) {
       context
           .log
           .error()
@@ -177,7 +177,7 @@
    */
   Optional<String> unsatisfiableReason(Want request) {
     List<PlacementConstraint> conflicting =
-        index.findUnsatisfiableConstraints(
+        index.findConflictingLabelConstraints(
             new VmAttributes(request.getCustomer(), request.getFlavour(), request.getService()));
     if (conflicting.isEmpty()) {
       return Optional.empty();
--- a/src/main/java/fordridge/server/grpc/ConstraintUpdater.java
+++ b/src/main/java/fordridge/server/grpc/ConstraintUpdater.java
@@ -4,9 +4,9 @@
 import fordridge.constraint.ConstraintParser;
 import fordridge.constraint.ConstraintSyntaxException;
 import fordridge.constraint.ConstraintValidator;
+import fordridge.constraint.IndivisibleLimitException;
 import fordridge.constraint.MachineTopology;
 import fordridge.constraint.PlacementConstraint;
-import fordridge.constraint.UnsatisfiableConstraintsException;
 import fordridge.discovery.MachineListSource;
 import fordridge.settings.DeploymentSettings;
 import fordridge.settings.InvalidSettingsException;
@@ -199,7 +199,7 @@
       return constraints;
     } catch (ConstraintSyntaxException e) {
       throw InvalidSettingsException.ofMessages(e.messages());
-    } catch (UnsatisfiableConstraintsException e) {
+    } catch (IndivisibleLimitException e) {
       throw InvalidSettingsException.ofMessages(List.of(e.getMessage()));
     }
   }
--- a/src/main/java/fordridge/server/grpc/GroupActions.java
+++ b/src/main/java/fordridge/server/grpc/GroupActions.java
@@ -32,7 +32,7 @@
   @Override
   public void plan(List<Vm> members, Consumer<GroupPlan> listener) {
     GroupPlan withoutConstraints =
-        GroupPlan.unconstrained(members.stream().map(vm -> vm.id).toList());
+        GroupPlan.withoutRestrictions(members.stream().map(vm -> vm.id).toList());
     if (members.stream().noneMatch(context.constraints::isConstrained)) {
       listener.accept(withoutConstraints);
       return;
@@ -116,7 +116,7 @@
 
   @Override
   public boolean cancel(Vm vm) {
-    context.scheduler.clientLeft(vm);
+    context.scheduler.requestAbandoned(vm);
     for (PlacementAttempt attempt : List.copyOf(vm.attempts)) {
       if (attempt.isInFlight()) {
         context.attempts.abandon(attempt, Outcome.CANCELLED);
@@ -131,7 +131,7 @@
         () -> {
           context.groups.remove(vm);
           context.forget(vm);
-          if (context.scheduler.inputs().vm(vm.id) == null) {
+          if (context.scheduler.inputs().findVm(vm.id) == null) {
             context.clients.unregister(vm);
           }
         });
--- a/src/main/java/fordridge/server/grpc/GrpcSchedulerActions.java
+++ b/src/main/java/fordridge/server/grpc/GrpcSchedulerActions.java
@@ -38,7 +38,7 @@
   public void sendAttempt(PlacementAttempt attempt, Duration timeout) {
     context.metrics.offerSent();
     context.constraints.attemptSent(attempt);
-    context.gate.enterWhenRead(
+    context.gate.submitAfterRead(
         InputKind.OFFER,
         () -> {
           if (attempt.isInFlight()) {
@@ -159,7 +159,7 @@
           if (context.machineList.isStale()) {
             context.scheduler.inputs().scheduler.machineListFailed();
           } else {
-            context.scheduler.inputs().list(false, false, List.of());
+            context.scheduler.inputs().machineListReceived(false, false, List.of());
           }
         });
   }
--- a/src/main/java/fordridge/server/grpc/InputLoop.java
+++ b/src/main/java/fordridge/server/grpc/InputLoop.java
@@ -71,7 +71,7 @@
     @Override
     public InputGate.ReadResult readSockets() {
       poller.readReady();
-      return InputGate.ReadResult.TO_THE_END;
+      return InputGate.ReadResult.COMPLETE;
     }
 
     @Override
@@ -84,7 +84,7 @@
     public void refreshTime() {}
 
     @Override
-    public void enter(InputKind kind, Runnable input) {
+    public void submit(InputKind kind, Runnable input) {
       process(input);
     }
   }
@@ -105,8 +105,8 @@
   }
 
   /** How long a message may have waited to be read, which is subtracted from its time left. */
-  Duration lagAllowance() {
-    return lagMonitor.allowance(now);
+  Duration maxRecentLag() {
+    return lagMonitor.maxReadDelay(now);
   }
 
   /** Runs a task on the event loop that is not an input of the scheduler; from any thread. */
@@ -122,7 +122,7 @@
   /** Processes an input and the inputs queued during it, or queues it if another is processed. */
   void process(Runnable input) {
     long startNanos = System.nanoTime();
-    if (!sequencer.enter(input)) {
+    if (!sequencer.submit(input)) {
       return;
     }
     metrics.decisionTook(System.nanoTime() - startNanos);
@@ -131,7 +131,7 @@
 
   /** Queues an input, to be processed after the current one. */
   void enqueue(Runnable input) {
-    sequencer.behind(input);
+    sequencer.enqueue(input);
   }
 
   /** Processes an input after a delay; a negative delay counts as zero. */
--- a/src/main/java/fordridge/server/grpc/InstanceContext.java
+++ b/src/main/java/fordridge/server/grpc/InstanceContext.java
@@ -81,7 +81,7 @@
     if (groups.isMember(vm) && clients.isPending(vm)) {
       return;
     }
-    if (scheduler.inputs().forget(vm)) {
+    if (scheduler.inputs().removeIfFinished(vm)) {
       clients.unregister(vm);
       groups.remove(vm);
     }
--- a/src/main/java/fordridge/server/grpc/MachineRegistry.java
+++ b/src/main/java/fordridge/server/grpc/MachineRegistry.java
@@ -2,7 +2,7 @@
 
 import fordridge.machine.MachineStream;
 import fordridge.machine.MachineStreamSettings;
-import fordridge.machine.ReconnectPacer;
+import fordridge.machine.ReconciliationPacer;
 import fordridge.model.Machine;
 import fordridge.model.PlacementAttempt;
 import fordridge.settings.ConnectionSettings;
@@ -31,7 +31,7 @@
   /** Machines whose reconciliation was scheduled, which is done once for each machine. */
   private final Set<Machine> reconciliationScheduled = new HashSet<>();
 
-  private final ReconnectPacer<Machine> reconciliation = new ReconnectPacer<>();
+  private final ReconciliationPacer<Machine> reconciliation = new ReconciliationPacer<>();
 
   MachineRegistry(InstanceContext context) {
     this.context = context;
@@ -106,7 +106,7 @@
     if (!reconciliationScheduled.add(machine)) {
       return;
     }
-    long spreadMillis = context.settings().cluster().unknownOutcomeRetryAfter().toMillis();
+    long spreadMillis = context.settings().cluster().detectionTimeout().toMillis();
     context.loop.schedule(
         Duration.ofMillis(Math.floorMod(machine.id ^ context.seed, spreadMillis)),
         () -> {
--- a/src/main/java/fordridge/server/grpc/PlacerCommand.java
+++ b/src/main/java/fordridge/server/grpc/PlacerProcess.java
@@ -42,7 +42,7 @@
  * servers, machine lists, constraints, gossip sockets and metrics. Owns all of them until {@link
  * #shutdown} or {@link #close}.
  */
-public final class PlacerCommand implements AutoCloseable {
+public final class PlacerProcess implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger("fordridge.scheduler");
 
   /**
@@ -79,7 +79,7 @@
    * Starts all instances. If a resource is unavailable (a port, the machine list), everything that
    * was started is closed, and the exception names the resource in one line.
    */
-  public PlacerCommand(DeploymentSettings settings) throws IOException, InvalidSettingsException {
+  public PlacerProcess(DeploymentSettings settings) throws IOException, InvalidSettingsException {
     this.settings = settings;
     InstanceSettings instance = settings.instance();
     seed =
--- a/src/main/java/fordridge/server/grpc/ShadowScheduler.java
+++ b/src/main/java/fordridge/server/grpc/ShadowScheduler.java
@@ -93,7 +93,7 @@
     this.primarySettings = primarySettings;
     this.metrics = metrics;
     this.primary = primary;
-    inputs = new SchedulerInputs<>(this, SchedulerInputs::number);
+    inputs = new SchedulerInputs<>(this, SchedulerInputs::machineId);
     inputs.scheduler.start(seed, SchedulerSettingsMapper.of(shadowSettings, position));
   }
 
@@ -110,11 +110,11 @@
   void machineListReceived(
       boolean isSnapshot, boolean isStale, List<SchedulerInputs.ListedMachine<String>> machines) {
     machines.forEach(listed -> machineNames.put(inputs.machine(listed.key()), listed.key()));
-    inputs.list(isSnapshot, isStale, machines);
+    inputs.machineListReceived(isSnapshot, isStale, machines);
   }
 
   void setLoad(String machine, LoadReport report, Duration now) {
-    inputs.report(
+    inputs.loadReported(
         inputs.machine(machine),
         report.spareCores(),
         report.spareMemory(),
@@ -205,13 +205,13 @@
     }
   }
 
-  void clientLeft(Vm vm) {
+  void requestAbandoned(Vm vm) {
     ShadowedVm shadowed = vmsByPrimary.get(vm);
     if (shadowed == null) {
       return;
     }
     Optional<PlacementAttempt> shadowAttempt = shadowed.shadowAttempt();
-    inputs.scheduler.clientLeft(shadowed.shadow);
+    inputs.scheduler.requestAbandoned(shadowed.shadow);
     shadowAttempt.ifPresent(
         inFlight ->
             inputs.scheduler.attemptEnded(
@@ -243,7 +243,7 @@
     ShadowedVm shadowed = new ShadowedVm(vm, shadow);
     vmsByPrimary.put(vm, shadowed);
     vmsByShadow.put(shadow, shadowed);
-    inputs.add(shadow);
+    inputs.addVm(shadow);
     return shadowed;
   }
 
@@ -274,10 +274,11 @@
       return;
     }
     boolean shadowPlaced = shadowResponse.isEmpty() && shadowed.shadowAttempt().isPresent();
-    boolean primaryPlaced = primaryResponse.isEmpty() && shadowed.primary.inFlightAttempts() > 0;
+    boolean primaryPlaced =
+        primaryResponse.isEmpty() && shadowed.primary.inFlightAttemptCount() > 0;
     if (shadowPlaced || primaryPlaced) {
       metrics.shadowDiffered(ShadowDifference.ANSWER);
-      clientLeft(shadowed.primary);
+      requestAbandoned(shadowed.primary);
     } else if (primaryResponse.isPresent() && shadowResponse.isPresent()) {
       compareResponses(primaryResponse.get(), shadowResponse.get());
       stopTracking(shadowed);
@@ -294,11 +295,11 @@
 
   private void stopTracking(ShadowedVm shadowed) {
     if (shadowed.shadowAttempt().isEmpty() && !shadowed.shadow.isFinished) {
-      inputs.scheduler.clientLeft(shadowed.shadow);
+      inputs.scheduler.requestAbandoned(shadowed.shadow);
     }
     vmsByPrimary.remove(shadowed.primary);
     vmsByShadow.remove(shadowed.shadow);
-    inputs.forget(shadowed.shadow);
+    inputs.removeIfFinished(shadowed.shadow);
   }
 
   // Actions of the shadow scheduler, which are compared and counted but not performed
@@ -390,7 +391,7 @@
     if (primarySettings.cluster().isListPushed()) {
       metrics.shadowDiffered(ShadowDifference.LIST_ASK);
     }
-    primary.schedule(Duration.ZERO, () -> inputs.list(false, false, List.of()));
+    primary.schedule(Duration.ZERO, () -> inputs.machineListReceived(false, false, List.of()));
   }
 
   @Override
--- a/src/main/java/fordridge/server/grpc/ShadowedScheduler.java
+++ b/src/main/java/fordridge/server/grpc/ShadowedScheduler.java
@@ -29,7 +29,7 @@
   private ShadowScheduler shadow;
 
   ShadowedScheduler(SchedulerActions actions, SchedulerLog log) {
-    inputs = new SchedulerInputs<>(actions, SchedulerInputs::number);
+    inputs = new SchedulerInputs<>(actions, SchedulerInputs::machineId);
     this.log = log;
   }
 
@@ -49,7 +49,7 @@
 
   void machineListReceived(
       boolean isSnapshot, boolean isStale, List<ListedMachine<String>> machines) {
-    inputs.list(isSnapshot, isStale, machines);
+    inputs.machineListReceived(isSnapshot, isStale, machines);
     forwardToShadow(s -> s.machineListReceived(isSnapshot, isStale, machines));
   }
 
@@ -60,14 +60,14 @@
 
   /** Passes the VM to the shadow first, so that both see the same constraint state. */
   void vmRequested(Vm vm) {
-    inputs.add(vm);
+    inputs.addVm(vm);
     forwardToShadow(s -> s.vmRequested(vm));
     inputs.scheduler.vmRequested(vm);
     forwardToShadow(s -> s.vmDecided(vm));
   }
 
   void vmAdopted(Vm vm, Machine machine, String machineName) {
-    inputs.add(vm);
+    inputs.addVm(vm);
     inputs.scheduler.vmAdopted(vm, machine);
     forwardToShadow(s -> s.vmAdopted(vm, machineName));
   }
@@ -89,14 +89,15 @@
     forwardToShadow(s -> s.vmReported(attempt.vm, input));
   }
 
-  void clientLeft(Vm vm) {
-    inputs.scheduler.clientLeft(vm);
-    forwardToShadow(s -> s.clientLeft(vm));
+  void requestAbandoned(Vm vm) {
+    inputs.scheduler.requestAbandoned(vm);
+    forwardToShadow(s -> s.requestAbandoned(vm));
   }
 
   /** Sets a machine's load, which both schedulers read on their next input. */
   void setLoad(Machine machine, String machineName, LoadReport report, Duration now) {
-    inputs.report(machine, report.spareCores(), report.spareMemory(), report.utilization(), now);
+    inputs.loadReported(
+        machine, report.spareCores(), report.spareMemory(), report.utilization(), now);
     forwardToShadow(s -> s.setLoad(machineName, report, now));
   }
 
--- a/src/main/java/fordridge/server/json/ActiveRequests.java
+++ b/src/main/java/fordridge/server/json/ActiveRequests.java
@@ -35,17 +35,17 @@
   /** Adds a request that was admitted. */
   void add(Vm vm, RequestPayload payload) {
     payloads.put(vm.id, payload);
-    inputs.add(vm);
+    inputs.addVm(vm);
   }
 
   /** Adds a VM that runs already. */
   void addRunning(Vm vm) {
-    inputs.add(vm);
+    inputs.addVm(vm);
   }
 
   /** The VM of this id, or null if it is not active. */
   Vm find(String vmId) {
-    return inputs.vm(vmId);
+    return inputs.findVm(vmId);
   }
 
   /** The part of the request that is forwarded to a machine; null once the VM was accepted. */
@@ -60,7 +60,7 @@
 
   /** Cancels the attempts of a VM that no client waits for any more. */
   void abandon(Vm vm, MachineRegistry machines) {
-    inputs.scheduler.clientLeft(vm);
+    inputs.scheduler.requestAbandoned(vm);
     for (PlacementAttempt attempt : List.copyOf(vm.attempts)) {
       if (attempt.isInFlight()) {
         machines.poolOf(attempt).cancel(attempt, Outcome.CANCELLED, loop.now());
@@ -75,7 +75,7 @@
    * others are cancelled.
    */
   void supersede(Vm vm, MachineHandle machine, MachineRegistry machines) {
-    inputs.scheduler.clientLeft(vm);
+    inputs.scheduler.requestAbandoned(vm);
     machine.pool().supersede(vm.id);
     abandon(vm, machines);
   }
@@ -84,7 +84,7 @@
   void removeIfFinished(Vm vm) {
     loop.enqueue(
         () -> {
-          if (inputs.forget(vm) || inputs.vm(vm.id) == null) {
+          if (inputs.removeIfFinished(vm) || inputs.findVm(vm.id) == null) {
             payloads.remove(vm.id);
           }
         });
@@ -92,6 +92,6 @@
 
   /** The number of VMs and payloads that are retained. */
   int retainedCount() {
-    return inputs.size() + payloads.size();
+    return inputs.vmCount() + payloads.size();
   }
 }
--- a/src/main/java/fordridge/server/json/AttemptOutcomeHandler.java
+++ b/src/main/java/fordridge/server/json/AttemptOutcomeHandler.java
@@ -9,7 +9,7 @@
 import fordridge.model.PlacementAttempt.OutcomeReason;
 import fordridge.model.Vm;
 import fordridge.runtime.SchedulerInputs;
-import fordridge.scheduling.OfferObstacle;
+import fordridge.scheduling.NotSentReason;
 import fordridge.session.PendingResponses;
 import java.time.Duration;
 import java.util.EnumMap;
@@ -55,11 +55,11 @@
 
   @Override
   public boolean confirmSend(PlacementAttempt attempt) {
-    Optional<OfferObstacle> obstacle = inputs.scheduler.confirmSend(attempt);
-    if (obstacle.isPresent()) {
-      requestLog.offerWithdrawn(attempt, machineIdOf(attempt), obstacle.get(), loop.clock());
+    Optional<NotSentReason> notSentReason = inputs.scheduler.confirmSend(attempt);
+    if (notSentReason.isPresent()) {
+      requestLog.offerWithdrawn(attempt, machineIdOf(attempt), notSentReason.get(), loop.clock());
     }
-    return obstacle.isEmpty();
+    return notSentReason.isEmpty();
   }
 
   @Override
@@ -105,13 +105,13 @@
   }
 
   @Override
-  public void unknownVmEnded(VmTermination termination, Machine machine) {
-    requestLog.vmLog().unknownVmEnded(termination, machines.handleOf(machine).id());
+  public void unknownVmTerminated(VmTermination termination, Machine machine) {
+    requestLog.vmLog().unknownVmTerminated(termination, machines.handleOf(machine).id());
     loop.enqueue(
         () -> {
           Vm vm = requests.find(termination.vmId());
           boolean wasLostUnanswered = vm != null && hasAttemptLostWithConnection(vm, machine);
-          inputs.scheduler.endConfirmed(termination.vmId(), machine);
+          inputs.scheduler.vmEndConfirmed(termination.vmId(), machine);
           if (wasLostUnanswered && pendingResponses.isAwaitingResponse(vm.id)) {
             // The VM did run and has ended: the attempts made since to place it again are
             // cancelled.
@@ -179,7 +179,7 @@
   @Override
   public void releaseSettled(String vmId, Machine machine) {
     requestLog.vmLog().releaseSettled(vmId, machines.handleOf(machine).id());
-    loop.enqueue(() -> inputs.scheduler.endConfirmed(vmId, machine));
+    loop.enqueue(() -> inputs.scheduler.vmEndConfirmed(vmId, machine));
   }
 
   @Override
--- a/src/main/java/fordridge/server/json/ClientRequestIntake.java
+++ b/src/main/java/fordridge/server/json/ClientRequestIntake.java
@@ -1,11 +1,11 @@
 package fordridge.server.json;
 
 import fordridge.json.ClientConnection;
+import fordridge.json.ClientConnectionCloseReason;
 import fordridge.json.ClientRequest;
 import fordridge.json.ClientRequestHandler;
-import fordridge.json.CloseReason;
 import fordridge.json.RequestPayload;
-import fordridge.json.TerminationCause;
+import fordridge.json.TerminationCode;
 import fordridge.model.Machine;
 import fordridge.model.PlacementAttempt;
 import fordridge.model.Vm;
@@ -234,10 +234,10 @@
       log.accept("invalid request: " + vmId + ": " + reason.getMessage());
     }
     if (!pendingResponses.pendingRequestsOf(connection).contains(vmId)) {
-      connection.sendTerminated(vmId, TerminationCause.FAILED);
+      connection.sendTerminated(vmId, TerminationCode.FAILED);
     }
     fail(pendingResponses.pendingRequestsOf(connection));
-    connection.closeAfterResponse(CloseReason.INVALID_REQUEST);
+    connection.closeAfterResponse(ClientConnectionCloseReason.INVALID_REQUEST);
   }
 
   @Override
@@ -246,7 +246,7 @@
         InputKind.CLIENT_TERMINATION,
         () -> {
           Vm vm = requests.find(vmId);
-          if (vm == null || !pendingResponses.endedByClient(vmId)) {
+          if (vm == null || !pendingResponses.terminatedByClient(vmId)) {
             return;
           }
           if (vm.acceptedAttempt == null) {
@@ -255,7 +255,7 @@
             return;
           }
           PlacementAttempt running = vm.acceptedAttempt;
-          requestLog.vmLog().endedByClient(running, machines.handleOf(running.machine).id());
+          requestLog.vmLog().terminatedByClient(running, machines.handleOf(running.machine).id());
           connection.sendTerminationAccepted(vmId);
           machines.poolOf(running).terminate(running, loop.now());
         });
--- a/src/main/java/fordridge/server/json/ClientResponder.java
+++ b/src/main/java/fordridge/server/json/ClientResponder.java
@@ -1,7 +1,7 @@
 package fordridge.server.json;
 
 import fordridge.json.ClientConnection;
-import fordridge.json.TerminationCause;
+import fordridge.json.TerminationCode;
 import fordridge.model.PlacementAttempt.Outcome;
 import fordridge.model.Vm;
 import fordridge.session.PendingResponses;
@@ -32,7 +32,7 @@
 
   /** Rejects the request; {@code retryAfter} tells the client when to retry, unless it is zero. */
   void sendRejected(Vm vm, Duration retryAfter) {
-    Optional<ClientConnection> client = pending.takeDeclined(vm.id);
+    Optional<ClientConnection> client = pending.takeUnaccepted(vm.id);
     if (client.isPresent()) {
       client.get().sendRejected(vm.id, retryAfter);
     }
@@ -40,9 +40,9 @@
 
   /** Fails the request; the VM may have run. */
   void sendFailed(Vm vm) {
-    Optional<ClientConnection> client = pending.takeDeclined(vm.id);
+    Optional<ClientConnection> client = pending.takeUnaccepted(vm.id);
     if (client.isPresent()) {
-      client.get().sendTerminated(vm.id, TerminationCause.FAILED);
+      client.get().sendTerminated(vm.id, TerminationCode.FAILED);
     }
   }
 
@@ -51,7 +51,7 @@
    * notice, for the log.
    */
   String notifyTerminated(Vm vm, Outcome outcome, Duration now) {
-    boolean hasOwnConnection = pending.hasOwnConnection(vm.id);
+    boolean isClientConnected = pending.isClientConnected(vm.id);
     Optional<ClientConnection> client = pending.vmTerminated(vm.id, outcome, now);
     if (client.isEmpty()) {
       return pending.isNoticeUndelivered(vm.id)
@@ -61,7 +61,7 @@
     client.get().sendTerminated(vm.id, causeOf(outcome));
     return "sent to "
         + client.get().remotePort()
-        + (hasOwnConnection ? "" : ", on another connection");
+        + (isClientConnected ? "" : ", on another connection");
   }
 
   /**
@@ -101,7 +101,7 @@
     }
   }
 
-  private static TerminationCause causeOf(Outcome outcome) {
-    return outcome == Outcome.DONE ? TerminationCause.DONE : TerminationCause.RESET;
+  private static TerminationCode causeOf(Outcome outcome) {
+    return outcome == Outcome.DONE ? TerminationCode.DONE : TerminationCode.RESET;
   }
 }
--- a/src/main/java/fordridge/server/json/JsonInputPort.java
+++ b/src/main/java/fordridge/server/json/JsonInputPort.java
@@ -31,14 +31,14 @@
   public ReadResult readSockets() {
     if (clients == null) {
       poller.readReady();
-      return ReadResult.TO_THE_END;
+      return ReadResult.COMPLETE;
     }
     clients.startReadPass();
     poller.readReady();
     if (clients.hasUnreadInput()) {
-      return ReadResult.MORE_MAY_WAIT;
+      return ReadResult.INCOMPLETE;
     }
-    return clients.isAcceptingRefused() ? ReadResult.REFUSED : ReadResult.TO_THE_END;
+    return clients.isAcceptFailing() ? ReadResult.REFUSED : ReadResult.COMPLETE;
   }
 
   @Override
@@ -52,7 +52,7 @@
   }
 
   @Override
-  public void enter(InputKind kind, Runnable input) {
+  public void submit(InputKind kind, Runnable input) {
     loop.submit(kind, input);
   }
 }
--- a/src/main/java/fordridge/server/json/JsonSchedulerActions.java
+++ b/src/main/java/fordridge/server/json/JsonSchedulerActions.java
@@ -60,13 +60,13 @@
   }
 
   @Override
-  public boolean isInputRead() {
+  public boolean isAllInputRead() {
     return gate.mayDecide();
   }
 
   @Override
   public void sendAttempt(PlacementAttempt attempt, Duration timeout) {
-    gate.enterWhenRead(InputKind.OFFER, () -> offer(attempt, timeout));
+    gate.submitAfterRead(InputKind.OFFER, () -> offer(attempt, timeout));
     loop.submitAfterSocketRead(timeout, InputKind.ATTEMPT_TIMEOUT, () -> attemptTimedOut(attempt));
   }
 
@@ -138,7 +138,7 @@
   /** Confirms the watch to the scheduler by an empty change: the list is watched from the start. */
   @Override
   public void watchMachineList(boolean enabled) {
-    loop.enqueue(() -> inputs.list(false, false, List.of()));
+    loop.enqueue(() -> inputs.machineListReceived(false, false, List.of()));
   }
 
   /** Does nothing: the watch pushes the machine list. */
--- a/src/main/java/fordridge/server/json/JsonSchedulerServer.java
+++ b/src/main/java/fordridge/server/json/JsonSchedulerServer.java
@@ -6,8 +6,8 @@
 import fordridge.json.ClientConnection;
 import fordridge.json.ClientRequestHandler;
 import fordridge.json.ClientServer;
-import fordridge.json.EndpointWatcher;
 import fordridge.json.MachineListEvent;
+import fordridge.json.MachineListWatcher;
 import fordridge.runtime.InputKind;
 import fordridge.runtime.InputStatistics;
 import fordridge.runtime.SchedulerInputs;
@@ -77,7 +77,7 @@
     inputPort = new JsonInputPort(loop, poller);
     gate = new InputGate(timers, inputPort, this::decide);
     actions = new JsonSchedulerActions(loop, gate, clients, settings, requestLog, log);
-    inputs = new SchedulerInputs<>(actions, SchedulerInputs::number);
+    inputs = new SchedulerInputs<>(actions, SchedulerInputs::machineId);
     requests = new ActiveRequests(loop, inputs, requestLog);
     outcomes =
         new AttemptOutcomeHandler(loop, inputs, pendingResponses, clients, requests, requestLog);
@@ -108,7 +108,7 @@
   }
 
   /** The listener for changes of the machine list. */
-  EndpointWatcher.Listener machineListListener() {
+  MachineListWatcher.Listener machineListListener() {
     return machineList;
   }
 
@@ -136,7 +136,7 @@
   }
 
   private void decide() {
-    inputs.scheduler.inputRead();
+    inputs.scheduler.allInputRead();
   }
 
   private void tick() {
@@ -248,7 +248,7 @@
         + " failed "
         + outcomes.failedProbes()
         + ", ends of unknown VMs displaced "
-        + machines.displacedEndCount()
+        + machines.displacedTerminationCount()
         + ", loop lag "
         + loop.lag(loop.clock()).toMillis()
         + " ms, longest offer delay after a drain "
--- a/src/main/java/fordridge/server/json/MachineHandle.java
+++ b/src/main/java/fordridge/server/json/MachineHandle.java
@@ -5,8 +5,8 @@
 import fordridge.json.RequestPayload;
 import fordridge.machine.ConnectFailure;
 import fordridge.machine.LoadReport;
-import fordridge.machine.MachineCloseReason;
 import fordridge.machine.MachineConnection;
+import fordridge.machine.MachineConnectionCloseReason;
 import fordridge.machine.MachineConnectionPool;
 import fordridge.machine.VmReportKind;
 import fordridge.machine.VmTermination;
@@ -59,7 +59,8 @@
     machine = inputs.machine(id);
     acknowledgements =
         new MachineAcknowledgements(
-            vmId -> isNoticeUndelivered.test(vmId) || pool.isEndKept(vmId, loop.clock()),
+            vmId ->
+                isNoticeUndelivered.test(vmId) || pool.hasUnclaimedTermination(vmId, loop.clock()),
             this::acknowledge);
   }
 
@@ -108,13 +109,13 @@
   @Override
   public void connectionEstablished(MachineConnection connection) {
     requestLog.vmLog().machineConnectionUp(id, loop.clock().minus(connection.openedAt()));
-    gate.enterWhenRead(
+    gate.submitAfterRead(
         InputKind.MACHINE_CONNECTED, () -> pool.connectionEstablished(connection, loop.now()));
   }
 
   @Override
   public void connectionWritable(MachineConnection connection) {
-    gate.enterWhenRead(
+    gate.submitAfterRead(
         InputKind.MACHINE_WRITABLE, () -> pool.connectionWritable(connection, loop.now()));
   }
 
@@ -137,7 +138,7 @@
   }
 
   @Override
-  public void connectionClosed(MachineConnection connection, MachineCloseReason reason) {
+  public void connectionClosed(MachineConnection connection, MachineConnectionCloseReason reason) {
     Duration openFor = loop.clock().minus(connection.openedAt());
     requestLog.vmLog().machineConnectionClosed(id, reason, openFor);
   }
@@ -228,7 +229,7 @@
         InputKind.LOAD_REPORTED,
         () -> {
           loadReportCount++;
-          inputs.report(
+          inputs.loadReported(
               machine, report.spareCores(), report.spareMemory(), report.utilization(), loop.now());
           if (!answersProbe) {
             inputs.scheduler.loadReported(machine);
--- a/src/main/java/fordridge/server/json/MachineListIntake.java
+++ b/src/main/java/fordridge/server/json/MachineListIntake.java
@@ -1,7 +1,7 @@
 package fordridge.server.json;
 
-import fordridge.json.EndpointWatcher;
 import fordridge.json.MachineListEvent;
+import fordridge.json.MachineListWatcher;
 import fordridge.model.Durations;
 import fordridge.model.Machine;
 import fordridge.runtime.MachineStartTimes;
@@ -20,7 +20,7 @@
  * Submits changes of the machine list as inputs: applies them to the connections to the machines
  * first, then to the scheduler. Confined to the event loop.
  */
-final class MachineListIntake implements EndpointWatcher.Listener {
+final class MachineListIntake implements MachineListWatcher.Listener {
   private final SchedulerEventLoop loop;
   private final SchedulerInputs<String> inputs;
   private final MachineRegistry machines;
@@ -65,7 +65,7 @@
       log.machineListChanged(event);
     }
     List<ListedMachine<String>> listed = new ArrayList<>(event.machines().size());
-    for (MachineListEvent.Entry entry : event.machines()) {
+    for (MachineListEvent.MachineEntry entry : event.machines()) {
       listed.add(
           new ListedMachine<>(
               entry.id(),
@@ -80,14 +80,14 @@
     loop.submitMachineListChange(
         () -> {
           updateConnections(event, listed);
-          inputs.list(event.isComplete(), false, listed);
+          inputs.machineListReceived(event.isComplete(), false, listed);
         });
   }
 
   /** The machine's start time by the scheduler's clock; null if it is not known. */
-  private Duration startedAt(MachineListEvent.Entry entry) {
+  private Duration startedAt(MachineListEvent.MachineEntry entry) {
     if (entry.lifecycle() == Machine.Lifecycle.GONE) {
-      startTimes.forget(entry.id());
+      startTimes.machineRemoved(entry.id());
       return null;
     }
     return entry.startedAtEpochMillis() == 0
@@ -119,7 +119,7 @@
    * Assigns an address to a machine. An address has one machine: the one that had it before is
    * gone, even if the list has not reported that yet.
    */
-  private void setAddress(MachineHandle handle, MachineListEvent.Entry entry) {
+  private void setAddress(MachineHandle handle, MachineListEvent.MachineEntry entry) {
     if (entry.lifecycle() == Machine.Lifecycle.GONE) {
       return;
     }
@@ -128,7 +128,7 @@
         && previous != handle
         && entry.address().equals(previous.client().address())) {
       previous.client().setAddress(null);
-      previous.pool().addressTaken(loop.now());
+      previous.pool().addressReassigned(loop.now());
     }
     handle.client().setAddress(entry.address());
   }
--- a/src/main/java/fordridge/server/json/MachineRegistry.java
+++ b/src/main/java/fordridge/server/json/MachineRegistry.java
@@ -7,7 +7,7 @@
 import fordridge.machine.ConnectionTimeouts;
 import fordridge.machine.MachineConnectionListener;
 import fordridge.machine.MachineConnectionPool;
-import fordridge.machine.OfferAllowance;
+import fordridge.machine.OfferConnectionQuota;
 import fordridge.machine.UnsettledReason;
 import fordridge.model.Durations;
 import fordridge.model.Machine;
@@ -36,7 +36,7 @@
   private final RequestLog requestLog;
   private final MachineConnectionListener listener;
   private final ConnectionQuota quota;
-  private final OfferAllowance offers = new OfferAllowance();
+  private final OfferConnectionQuota offers = new OfferConnectionQuota();
   private Predicate<String> isNoticeUndelivered = vmId -> false;
   private ConnectionTimeouts timeouts;
   private final Map<String, MachineHandle> handlesById = new HashMap<>();
@@ -151,10 +151,10 @@
    * The number of kept ends of unknown VMs that were displaced by later ones, of all machines since
    * the start.
    */
-  long displacedEndCount() {
+  long displacedTerminationCount() {
     long count = 0;
     for (MachineConnectionPool pool : pools) {
-      count += pool.displacedEndCount();
+      count += pool.displacedTerminationCount();
     }
     return count;
   }
@@ -165,7 +165,7 @@
     Duration oldest = Duration.ZERO;
     long displaced = 0;
     for (MachineConnectionPool pool : pools) {
-      pool.unsettled().countInto(counts);
+      pool.unsettled().addCountsTo(counts);
       displaced += pool.unsettled().displacedCount();
       Optional<Duration> since = pool.unsettled().oldestSince();
       if (since.isPresent()) {
--- a/src/main/java/fordridge/server/json/RequestLog.java
+++ b/src/main/java/fordridge/server/json/RequestLog.java
@@ -5,7 +5,7 @@
 import fordridge.model.PlacementAttempt.Outcome;
 import fordridge.model.PlacementAttempt.OutcomeReason;
 import fordridge.model.Vm;
-import fordridge.scheduling.OfferObstacle;
+import fordridge.scheduling.NotSentReason;
 import java.time.Duration;
 import java.util.Collection;
 import java.util.EnumMap;
@@ -37,7 +37,7 @@
   private final VmLog vmLog;
   private final Map<Handover, Long> handovers = new EnumMap<>(Handover.class);
   private final Map<Outcome, Long> outcomesBeforeAcceptance = new EnumMap<>(Outcome.class);
-  private final Map<OfferObstacle, Long> withdrawnOffers = new EnumMap<>(OfferObstacle.class);
+  private final Map<NotSentReason, Long> withdrawnOffers = new EnumMap<>(NotSentReason.class);
   private Duration maxOfferDelay = Duration.ZERO;
   private long writtenOffers;
   private long rejected;
@@ -90,15 +90,15 @@
 
   /** An attempt was decided on, but must not be sent any more. */
   void offerWithdrawn(
-      PlacementAttempt attempt, String machineId, OfferObstacle obstacle, Duration now) {
-    withdrawnOffers.merge(obstacle, 1L, Long::sum);
+      PlacementAttempt attempt, String machineId, NotSentReason reason, Duration now) {
+    withdrawnOffers.merge(reason, 1L, Long::sum);
     write(
         "offer not sent",
         attempt.vm,
         "machine "
             + machineId
             + ", "
-            + obstacle
+            + reason
             + ", "
             + now.minus(attempt.sentAt).toMillis()
             + " ms after the decision");
--- a/src/main/java/fordridge/server/json/SchedulerEventLoop.java
+++ b/src/main/java/fordridge/server/json/SchedulerEventLoop.java
@@ -76,7 +76,7 @@
    * {@link #MACHINE_LIST_READ_INTERVAL} ago or longer.
    */
   void setMachineListReader(Runnable readNow) {
-    sequencer.watch(readNow, MACHINE_LIST_READ_INTERVAL);
+    sequencer.setWatchReader(readNow, MACHINE_LIST_READ_INTERVAL);
   }
 
   /** When the machine list was last read to its end. */
@@ -111,7 +111,7 @@
   /** Runs an input now, or after the current input if one is running. */
   void submit(InputKind kind, Runnable input) {
     long startedNanos = System.nanoTime();
-    flushClientsIf(sequencer.enter(input));
+    flushClientsIf(sequencer.submit(input));
     inputStatistics.record(kind, System.nanoTime() - startedNanos);
   }
 
@@ -121,7 +121,7 @@
    */
   void submitMachineListChange(Runnable input) {
     long startedNanos = System.nanoTime();
-    flushClientsIf(sequencer.enterFromWatch(input));
+    flushClientsIf(sequencer.submitFromWatch(input));
     inputStatistics.record(InputKind.MACHINE_LIST, System.nanoTime() - startedNanos);
   }
 
@@ -133,7 +133,7 @@
 
   /** Queues a consequence of the current input, to run after it. */
   void enqueue(Runnable input) {
-    sequencer.behind(input);
+    sequencer.enqueue(input);
   }
 
   /** Submits an input after a delay. */
@@ -154,6 +154,6 @@
    * last seconds.
    */
   Duration lag(Duration at) {
-    return lag.allowance(at, poller.sincePreviousPoll());
+    return lag.maxReadDelay(at, poller.sincePreviousPoll());
   }
 }
--- a/src/main/java/fordridge/server/json/ServeCommand.java
+++ b/src/main/java/fordridge/server/json/ServeCommand.java
@@ -5,7 +5,7 @@
 import fordridge.eventloop.MonitoredIoHandler;
 import fordridge.eventloop.SocketPoller;
 import fordridge.json.ClientServer;
-import fordridge.json.EndpointWatcher;
+import fordridge.json.MachineListWatcher;
 import fordridge.observability.StackTraces;
 import fordridge.runtime.InputStatistics;
 import io.netty.channel.ChannelFuture;
@@ -56,7 +56,7 @@
   private volatile ServerConfiguration configuration;
   private volatile JsonSchedulerServer server;
   private volatile ClientServer clients;
-  private volatile EndpointWatcher machineListWatcher;
+  private volatile MachineListWatcher machineListWatcher;
 
   /** Whether the shutdown has begun. Confined to the event loop. */
   private boolean isShutdownStarted;
@@ -162,14 +162,14 @@
 
   private void startOnLoop() {
     server.start(clients);
-    EndpointWatcher watcher =
-        new EndpointWatcher(
+    MachineListWatcher watcher =
+        new MachineListWatcher(
             loop,
             timers,
             configuration.machineListPosition(),
             server.machineListListener(),
             this::log);
-    watcher.whenFirstHeard(machineListReceived::countDown);
+    watcher.whenFirstContacted(machineListReceived::countDown);
     watcher.watch(configuration.machineListAddress());
     server.setMachineListReader(watcher::readNow);
     machineListWatcher = watcher;
--- a/src/main/java/fordridge/server/json/ServerConfiguration.java
+++ b/src/main/java/fordridge/server/json/ServerConfiguration.java
@@ -55,7 +55,7 @@
     limits = limitFields.toString();
     maxSockets = readMaxSockets(limitFields);
     Map<String, Object> knownMachineList = JsonFields.object(file.get("known"), ROOT + ".known");
-    machineListPosition = JsonFields.whole(knownMachineList, "pos", ROOT + ".known");
+    machineListPosition = JsonFields.wholeNumber(knownMachineList, "pos", ROOT + ".known");
     machineListEvents = JsonFields.list(knownMachineList, "entries", ROOT + ".known");
     SettingsValues.flatten(
         "", JsonFields.object(file.get("settings"), ROOT + ".settings"), settingsByName);
@@ -78,7 +78,7 @@
   }
 
   private static int readMaxSockets(Map<String, Object> limitFields) {
-    int sockets = (int) JsonFields.whole(limitFields, "sockets", ROOT + ".limits");
+    int sockets = (int) JsonFields.wholeNumber(limitFields, "sockets", ROOT + ".limits");
     if (sockets < MIN_SOCKETS) {
       throw new MalformedInputException(
           ROOT + ".limits: field 'sockets' is " + sockets + ", expected at least " + MIN_SOCKETS);
--- a/src/main/java/fordridge/server/json/ServerSettings.java
+++ b/src/main/java/fordridge/server/json/ServerSettings.java
@@ -50,7 +50,7 @@
   private static double maxItem(SettingsValues values, String name) {
     double max = 0;
     for (int i = 0; i < values.list(name).size(); i++) {
-      max = Math.max(max, values.item(name, i, 0));
+      max = Math.max(max, values.numberAt(name, i, 0));
     }
     return max;
   }
--- a/src/main/java/fordridge/server/json/VmLog.java
+++ b/src/main/java/fordridge/server/json/VmLog.java
@@ -2,7 +2,7 @@
 
 import fordridge.json.MachineListEvent;
 import fordridge.machine.ConnectFailure;
-import fordridge.machine.MachineCloseReason;
+import fordridge.machine.MachineConnectionCloseReason;
 import fordridge.machine.MachineFailure;
 import fordridge.machine.VmTermination;
 import fordridge.model.Machine;
@@ -139,7 +139,7 @@
   }
 
   /** A machine reported the end of a VM that is not known to run there. */
-  void unknownVmEnded(VmTermination termination, String machineId) {
+  void unknownVmTerminated(VmTermination termination, String machineId) {
     write(
         termination.vmId(),
         "unknown VM ended",
@@ -157,7 +157,7 @@
   }
 
   /** A client ended a running VM. */
-  void endedByClient(PlacementAttempt attempt, String machineId) {
+  void terminatedByClient(PlacementAttempt attempt, String machineId) {
     write(attempt.vm.id, "ended by the client", machineId);
   }
 
@@ -222,7 +222,8 @@
   }
 
   /** This scheduler closes a connection to a machine. */
-  void machineConnectionClosed(String machineId, MachineCloseReason reason, Duration openFor) {
+  void machineConnectionClosed(
+      String machineId, MachineConnectionCloseReason reason, Duration openFor) {
     count("connection closed " + reason);
     writeConnection(machineId, "closed " + reason, openFor);
   }
@@ -238,7 +239,7 @@
   /** The machine list changed; logs the machines that are not live, by life cycle. */
   void machineListChanged(MachineListEvent event) {
     Map<Machine.Lifecycle, StringJoiner> machineIdsByLifecycle = new TreeMap<>();
-    for (MachineListEvent.Entry entry : event.machines()) {
+    for (MachineListEvent.MachineEntry entry : event.machines()) {
       machineIdsByLifecycle
           .computeIfAbsent(entry.lifecycle(), key -> new StringJoiner(" "))
           .add(entry.id());
--- a/src/main/java/fordridge/server/json/WarmUp.java
+++ b/src/main/java/fordridge/server/json/WarmUp.java
@@ -40,7 +40,7 @@
   private final SchedulerSettings settings;
   private final String priorityClass;
   private final SchedulerInputs<String> inputs =
-      new SchedulerInputs<>(this, SchedulerInputs::number);
+      new SchedulerInputs<>(this, SchedulerInputs::machineId);
 
   /** Inputs that result from the scheduler's actions; they run once the scheduler has returned. */
   private final Deque<Runnable> pendingInputs = new ArrayDeque<>();
@@ -59,7 +59,7 @@
     WarmUp warmUp = new WarmUp(configuration.schedulerSettings());
     warmUp.start(configuration.seed());
     EmbeddedChannel channel = new EmbeddedChannel();
-    ClientServer.embed(warmUp, channel.pipeline());
+    ClientServer.addEmbeddedConnection(warmUp, channel.pipeline());
     for (int i = 0; i < MAX_REQUESTS && System.nanoTime() - startedNanos < maxTime.toNanos(); i++) {
       warmUp.placeVm(i);
       warmUp.sendRequest(i, channel);
@@ -86,7 +86,7 @@
               Machine.Lifecycle.LIVE,
               null));
     }
-    inputs.list(true, false, machines);
+    inputs.machineListReceived(true, false, machines);
   }
 
   private void placeVm(int number) {
@@ -99,13 +99,13 @@
     vm.memory = 1;
     vm.arrivedAt = now;
     vm.deadline = now.plus(START_DEADLINE);
-    inputs.add(vm);
+    inputs.addVm(vm);
     inputs.scheduler.vmRequested(vm);
     while (!pendingInputs.isEmpty()) {
       pendingInputs.removeFirst().run();
     }
     Machine machine = inputs.machine("m" + number % MACHINES);
-    inputs.report(machine, machine.cores / 2, machine.memory / 2, 0.5, now);
+    inputs.loadReported(machine, machine.cores / 2, machine.memory / 2, 0.5, now);
     inputs.scheduler.loadReported(machine);
   }
 
@@ -141,17 +141,17 @@
     now = now.plus(VM_LIFETIME);
     inputs.scheduler.advanceTo(now);
     inputs.scheduler.attemptEnded(attempt, Outcome.DONE, OutcomeReason.UNSPECIFIED, true);
-    inputs.forget(attempt.vm);
+    inputs.removeIfFinished(attempt.vm);
   }
 
   @Override
   public void reject(Vm vm, Duration retryAfter) {
-    inputs.forget(vm);
+    inputs.removeIfFinished(vm);
   }
 
   @Override
   public void fail(Vm vm) {
-    inputs.forget(vm);
+    inputs.removeIfFinished(vm);
   }
 
   @Override
--- a/src/main/java/fordridge/session/NoticeDeliveries.java
+++ b/src/main/java/fordridge/session/NoticeDeliveries.java
@@ -35,7 +35,7 @@
     final TerminationNotice notice;
 
     /** Whether the client's own connection is known; the notice is then sent on that one first. */
-    final boolean hasOwnConnection;
+    final boolean isClientConnected;
 
     final Set<C> triedConnections = new LinkedHashSet<>();
 
@@ -45,9 +45,9 @@
     C connection;
     Duration sentAt;
 
-    Delivery(TerminationNotice notice, boolean hasOwnConnection, List<C> formerConnections) {
+    Delivery(TerminationNotice notice, boolean isClientConnected, List<C> formerConnections) {
       this.notice = notice;
-      this.hasOwnConnection = hasOwnConnection;
+      this.isClientConnected = isClientConnected;
       this.formerConnections = formerConnections;
     }
 
@@ -239,7 +239,7 @@
     }
     return openConnections.stream()
         .filter(candidate -> !delivery.triedConnections.contains(candidate))
-        .filter(candidate -> !delivery.hasOwnConnection || acknowledgements.containsKey(candidate))
+        .filter(candidate -> !delivery.isClientConnected || acknowledgements.containsKey(candidate))
         .reduce(this::preferred);
   }
 
