--- a/src/main/java/fordridge/session/PendingResponses.java
+++ b/src/main/java/fordridge/session/PendingResponses.java
@@ -188,7 +188,7 @@
    * Removes a pending request that was rejected or has failed. Returns the connection to send that
    * response on; empty if the request is not pending.
    */
-  public Optional<C> takeDeclined(String vmId) {
+  public Optional<C> takeUnaccepted(String vmId) {
     Entry<C> entry = entries.get(vmId);
     if (entry == null || entry.state != State.AWAITING_RESPONSE) {
       return Optional.empty();
@@ -224,7 +224,7 @@
    * A client terminates a VM or withdraws a request: it gets no response or notice for it. Returns
    * false if the VM is unknown.
    */
-  public boolean endedByClient(String vmId) {
+  public boolean terminatedByClient(String vmId) {
     Entry<C> entry = entries.get(vmId);
     if (entry == null) {
       return false;
@@ -315,7 +315,7 @@
   }
 
   /** Whether the connection of the VM's client is known and open. */
-  public boolean hasOwnConnection(String vmId) {
+  public boolean isClientConnected(String vmId) {
     Entry<C> entry = entries.get(vmId);
     return entry != null && entry.connection != null;
   }
--- a/src/main/java/fordridge/settings/ClusterSettings.java
+++ b/src/main/java/fordridge/settings/ClusterSettings.java
@@ -18,8 +18,8 @@
  * @param isFreeCapacityListed whether entries of the machine list state unreserved cores and memory
  * @param maxAttempts maximum number of placement attempts for each request
  * @param hasHealthChecks whether machines answer health checks
- * @param unknownOutcomeRetryAfter retry-after sent for a request whose VM must not run twice and
- *     may already be running
+ * @param detectionTimeout retry-after sent for a request whose VM must not run twice and may
+ *     already be running
  * @param drainGracePeriod maximum time after a drain notification within which offers may still
  *     reach the draining machine
  * @param slowStart start rate of machines that have just started
@@ -38,7 +38,7 @@
     boolean isFreeCapacityListed,
     int maxAttempts,
     boolean hasHealthChecks,
-    Duration unknownOutcomeRetryAfter,
+    Duration detectionTimeout,
     Duration drainGracePeriod,
     SlowStartSettings slowStart,
     Duration maxRetryAfter,
@@ -149,13 +149,11 @@
   }
 
   void check(ConfigReader reader) {
-    if (unknownOutcomeRetryAfter.compareTo(drainGracePeriod) < 0) {
+    if (detectionTimeout.compareTo(drainGracePeriod) < 0) {
       reader.reject(
-          "cluster.settle",
-          unknownOutcomeRetryAfter.toMillis() + "ms",
-          "at least cluster.drain_grace");
+          "cluster.settle", detectionTimeout.toMillis() + "ms", "at least cluster.drain_grace");
     }
-    if (maxListAge.compareTo(unknownOutcomeRetryAfter) < 0 && !isListPushed()) {
+    if (maxListAge.compareTo(detectionTimeout) < 0 && !isListPushed()) {
       reader.reject("cluster.ask_within", maxListAge.toMillis() + "ms", "at least cluster.settle");
     }
   }
--- a/src/main/java/fordridge/settings/SchedulerSettingsMapper.java
+++ b/src/main/java/fordridge/settings/SchedulerSettingsMapper.java
@@ -7,7 +7,7 @@
 import fordridge.model.SchedulerSettings.DiscoveryMode;
 import fordridge.model.SchedulerSettings.LoadReportBasis;
 import fordridge.model.SchedulerSettings.LoadReportMode;
-import fordridge.model.TopologyDomain;
+import fordridge.model.TopologyScope;
 import java.time.Duration;
 import java.time.temporal.ChronoUnit;
 import java.util.List;
@@ -35,7 +35,7 @@
             .map(SchedulerSettingsMapper::priorityClass)
             .toList(),
         tenants(deployment),
-        truncateToMicros(cluster.unknownOutcomeRetryAfter()),
+        truncateToMicros(cluster.detectionTimeout()),
         capacity(cluster),
         new SchedulerSettings.Discovery(
             discoveryMode(cluster), truncateToMicros(cluster.maxListAge())),
@@ -57,7 +57,7 @@
         truncateToMicros(settings.startLatencyObjective()),
         truncateToMicros(settings.startDeadline()),
         settings.requiredKind().isEmpty() ? null : settings.requiredKind(),
-        spreadDomain(settings.spreadScope()),
+        spreadScope(settings.spreadScope()),
         settings.maxPerSpreadScope(),
         settings.fullSpeedUtilization(),
         settings.degradationSpan(),
@@ -72,20 +72,20 @@
     };
   }
 
-  private static TopologyDomain idempotencyScope(PriorityClassSettings.DeduplicationScope scope) {
+  private static TopologyScope idempotencyScope(PriorityClassSettings.DeduplicationScope scope) {
     return switch (scope) {
-      case CELL -> TopologyDomain.CELL;
-      case ZONE -> TopologyDomain.ZONE;
-      case ALL -> TopologyDomain.CLUSTER;
+      case CELL -> TopologyScope.CELL;
+      case ZONE -> TopologyScope.ZONE;
+      case ALL -> TopologyScope.CLUSTER;
     };
   }
 
-  private static TopologyDomain spreadDomain(PriorityClassSettings.SpreadScope scope) {
+  private static TopologyScope spreadScope(PriorityClassSettings.SpreadScope scope) {
     return switch (scope) {
-      case OFF -> TopologyDomain.NONE;
-      case MACHINE -> TopologyDomain.MACHINE;
-      case CELL -> TopologyDomain.CELL;
-      case ZONE -> TopologyDomain.ZONE;
+      case OFF -> TopologyScope.NONE;
+      case MACHINE -> TopologyScope.MACHINE;
+      case CELL -> TopologyScope.CELL;
+      case ZONE -> TopologyScope.ZONE;
     };
   }
 
@@ -95,8 +95,8 @@
         : deployment.tenants().stream().map(TenantShare::name).toList();
   }
 
-  private static SchedulerSettings.Capacity capacity(ClusterSettings cluster) {
-    return new SchedulerSettings.Capacity(
+  private static SchedulerSettings.CapacitySettings capacity(ClusterSettings cluster) {
+    return new SchedulerSettings.CapacitySettings(
         cluster.coreOvercommitRatio(),
         cluster.memoryOvercommitRatio(),
         cluster.isFreeCapacityListed(),
@@ -115,8 +115,8 @@
     return cluster.confirmsOnAcceptance() ? AcceptanceMode.ADMITTED : AcceptanceMode.RUNNING;
   }
 
-  private static SchedulerSettings.SlowStart slowStart(SlowStartSettings settings) {
-    return new SchedulerSettings.SlowStart(
+  private static SchedulerSettings.SlowStartSettings slowStart(SlowStartSettings settings) {
+    return new SchedulerSettings.SlowStartSettings(
         truncateToMicros(settings.warmUpTime()),
         truncateToMicros(settings.overloadWindow()),
         settings.initialStartRate(),
--- a/src/main/java/fordridge/simulation/SimulatedScheduler.java
+++ b/src/main/java/fordridge/simulation/SimulatedScheduler.java
@@ -48,7 +48,7 @@
       case "bound" -> attemptAccepted(event);
       case "interim" -> vmReported(event);
       case "response" -> attemptEnded(event);
-      case "clientGone" -> clientLeft(event);
+      case "clientGone" -> requestAbandoned(event);
       case "echo" -> probeCompleted(event);
       case "noteFrom" -> scheduler.gossipReceived(event.text("data"));
       case "due" -> timerFired(event);
@@ -76,17 +76,17 @@
     for (int i = 0; i < lines.size(); i++) {
       listed.add(listedMachine(lines.get(i), event.path() + ".lines[" + i + "]"));
     }
-    inputs.list(!origin.equals("diff"), origin.equals("disk"), listed);
+    inputs.machineListReceived(!origin.equals("diff"), origin.equals("disk"), listed);
   }
 
   private static ListedMachine<Long> listedMachine(Object line, String path) {
     Map<String, Object> fields = JsonFields.object(line, path);
-    long startedAtMicros = JsonFields.whole(fields, "readyAtUs", path, 0);
+    long startedAtMicros = JsonFields.wholeNumber(fields, "readyAtUs", path, 0);
     return new ListedMachine<>(
-        JsonFields.whole(fields, "machine", path),
+        JsonFields.wholeNumber(fields, "machine", path),
         JsonFields.text(fields, "site", path, ""),
         JsonFields.text(fields, "generationHw", path, ""),
-        (int) JsonFields.whole(fields, "pod", path, 0),
+        (int) JsonFields.wholeNumber(fields, "pod", path, 0),
         JsonFields.number(fields, "freeCores", path, 0),
         JsonFields.number(fields, "memoryFree", path, 0),
         lifecycle(JsonFields.text(fields, "lifecycle", path), path),
@@ -116,7 +116,7 @@
     vm.deadline = event.clock().plus(event.micros("patienceLeftUs"));
     long lifetimeMicros = event.whole("lastsUs", 0);
     vm.expectedLifetime = lifetimeMicros > 0 ? micros(lifetimeMicros) : null;
-    inputs.add(vm);
+    inputs.addVm(vm);
     return vm;
   }
 
@@ -149,7 +149,7 @@
   }
 
   private void attemptEnded(SimulatorEvent event) {
-    Machine machine = inputs.known(event.whole("machine"));
+    Machine machine = inputs.findMachine(event.whole("machine"));
     if (machine != null && takeLoadReport(machine, event)) {
       scheduler.loadReported(machine);
     }
@@ -160,7 +160,7 @@
     PlacementAttempt.Outcome outcome = outcome((int) event.whole("rc"), event.path());
     PlacementAttempt.OutcomeReason reason = reason((int) event.whole("info", 0));
     scheduler.attemptEnded(attempt, outcome, reason, event.flag("noMore"));
-    inputs.forget(attempt.vm);
+    inputs.removeIfFinished(attempt.vm);
   }
 
   private static PlacementAttempt.Outcome outcome(int code, String path) {
@@ -189,16 +189,16 @@
     return isKnown ? reasons[code] : PlacementAttempt.OutcomeReason.UNSPECIFIED;
   }
 
-  private void clientLeft(SimulatorEvent event) {
-    Vm vm = inputs.vm(event.text("req"));
+  private void requestAbandoned(SimulatorEvent event) {
+    Vm vm = inputs.findVm(event.text("req"));
     if (vm != null) {
-      scheduler.clientLeft(vm);
-      inputs.forget(vm);
+      scheduler.requestAbandoned(vm);
+      inputs.removeIfFinished(vm);
     }
   }
 
   private void probeCompleted(SimulatorEvent event) {
-    Machine machine = inputs.known(event.whole("machine"));
+    Machine machine = inputs.findMachine(event.whole("machine"));
     if (machine == null) {
       return;
     }
@@ -222,7 +222,7 @@
       return false;
     }
     Map<String, Object> report = event.object("healthInfo");
-    inputs.report(
+    inputs.loadReported(
         machine,
         JsonFields.number(report, "x0", event.path(), Double.NaN),
         JsonFields.number(report, "x1", event.path(), Double.NaN),
@@ -276,13 +276,13 @@
   @Override
   public void reject(Vm vm, Duration retryAfter) {
     write("deny", "req", vm.id, "backoffUs", toMicros(retryAfter));
-    inputs.forget(vm);
+    inputs.removeIfFinished(vm);
   }
 
   @Override
   public void fail(Vm vm) {
     write("dropRequest", "req", vm.id);
-    inputs.forget(vm);
+    inputs.removeIfFinished(vm);
   }
 
   @Override
--- a/src/main/java/fordridge/simulation/SimulatorAdapter.java
+++ b/src/main/java/fordridge/simulation/SimulatorAdapter.java
@@ -64,8 +64,9 @@
   }
 
   private byte[] handleBatch(Map<String, Object> batch) throws IOException {
-    Duration clock = Duration.of(JsonFields.whole(batch, "clockUs", "batch"), ChronoUnit.MICROS);
-    long number = JsonFields.whole(batch, "n", "batch");
+    Duration clock =
+        Duration.of(JsonFields.wholeNumber(batch, "clockUs", "batch"), ChronoUnit.MICROS);
+    long number = JsonFields.wholeNumber(batch, "n", "batch");
     StringWriter reply = new StringWriter(REPLY_CHARS);
     JsonGenerator generator = FACTORY.createGenerator(reply);
     generator.writeStartObject();
@@ -104,13 +105,14 @@
   }
 
   private void readMachineList(Map<String, Object> event, String path) {
-    machineLists.put(JsonFields.whole(event, "slot", path), JsonFields.list(event, "lines", path));
+    machineLists.put(
+        JsonFields.wholeNumber(event, "slot", path), JsonFields.list(event, "lines", path));
   }
 
   private void handleGroup(
       Map<String, Object> group, String path, Duration clock, JsonGenerator generator)
       throws IOException {
-    long id = JsonFields.whole(group, "placerId", path);
+    long id = JsonFields.wholeNumber(group, "placerId", path);
     generator.writeStartObject();
     generator.writeNumberField("placerId", id);
     generator.writeArrayFieldStart("output");
--- a/src/main/java/fordridge/simulation/SimulatorEvent.java
+++ b/src/main/java/fordridge/simulation/SimulatorEvent.java
@@ -19,11 +19,11 @@
   }
 
   long whole(String field) {
-    return JsonFields.whole(fields, field, path);
+    return JsonFields.wholeNumber(fields, field, path);
   }
 
   long whole(String field, long defaultValue) {
-    return JsonFields.whole(fields, field, path, defaultValue);
+    return JsonFields.wholeNumber(fields, field, path, defaultValue);
   }
 
   double number(String field) {
@@ -35,7 +35,7 @@
   }
 
   boolean flag(String field) {
-    return JsonFields.flag(fields, field, path);
+    return JsonFields.bool(fields, field, path);
   }
 
   /** A field that holds an object. */
--- a/src/test/java/fordridge/constraint/ConstraintFixtures.java
+++ b/src/test/java/fordridge/constraint/ConstraintFixtures.java
@@ -28,7 +28,7 @@
 
   /** Creates the index of a scheduler that does not share limits with others. */
   static ConstraintIndex indexOf(List<PlacementConstraint> constraints, List<MachineTopology> fleet)
-      throws UnsatisfiableConstraintsException {
+      throws IndivisibleLimitException {
     ConstraintIndex index = new ConstraintIndex(constraints, 1);
     index.machineListReceived(fleet);
     return index;
--- a/src/test/java/fordridge/constraint/ConstraintIndexTest.java
+++ b/src/test/java/fordridge/constraint/ConstraintIndexTest.java
@@ -204,12 +204,12 @@
             rule two: flavour w require on kind big;
             rule three: service 5 require on not kind big;
             rule four: service 5 prefer 3 on zone x;""");
-    assertThat(index.findUnsatisfiableConstraints(vm("w", 5)))
+    assertThat(index.findConflictingLabelConstraints(vm("w", 5)))
         .extracting(PlacementConstraint::name)
         .containsExactly("two", "three");
-    assertThat(index.findUnsatisfiableConstraints(vm("w", 6))).isEmpty();
+    assertThat(index.findConflictingLabelConstraints(vm("w", 6))).isEmpty();
     index.machineListReceived(FLEET.subList(4, 5));
-    assertThat(index.findUnsatisfiableConstraints(vm("v", 6)))
+    assertThat(index.findConflictingLabelConstraints(vm("v", 6)))
         .extracting(PlacementConstraint::name)
         .containsExactly("one");
   }
@@ -220,7 +220,7 @@
         parse("rule m: flavour w require spread at most 3 per zone overall;");
 
     assertThatThrownBy(() -> new ConstraintIndex(constraints, 4))
-        .isInstanceOf(UnsatisfiableConstraintsException.class)
+        .isInstanceOf(IndivisibleLimitException.class)
         .hasMessageContaining("rule 'm'")
         .hasMessageContaining("4 placers");
   }
@@ -260,7 +260,7 @@
         .anyMatch(description -> description.contains("machine a would do better"));
     assertThat(index.findImprovablePlacements(0)).isEmpty();
     assertThat(index.isAllowed(vm("w", 1), "c")).as("the VM is counted again").isFalse();
-    index.withoutAttempt(3, () -> assertThat(index.isAllowed(vm("w", 1), "c")).isTrue());
+    index.runWithoutAttempt(3, () -> assertThat(index.isAllowed(vm("w", 1), "c")).isTrue());
   }
 
   @Example
@@ -270,7 +270,7 @@
 
     assertThatThrownBy(
             () ->
-                index.withoutAttempt(
+                index.runWithoutAttempt(
                     1,
                     () -> {
                       throw new IllegalStateException("action failed");
--- a/src/test/java/fordridge/emulator/ScenarioTest.java
+++ b/src/test/java/fordridge/emulator/ScenarioTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import fordridge.emulator.invariant.Figure;
+import fordridge.emulator.invariant.Statistic;
 import java.io.File;
 import java.io.OutputStream;
 import java.io.PrintStream;
@@ -23,9 +23,10 @@
             Map.of(),
             folder,
             new PrintStream(OutputStream.nullOutputStream()));
-    assertThat(outcome.verdict().violations()).as(outcome.verdict().text()).isEmpty();
+    assertThat(outcome.report().violations()).as(outcome.report().text()).isEmpty();
     assertThat(outcome.requested()).isGreaterThan(300);
-    assertThat(outcome.verdict().figures().get(Figure.NON_IDEMPOTENT_STARTS)).isGreaterThan(10);
+    assertThat(outcome.report().statistics().get(Statistic.NON_IDEMPOTENT_STARTS))
+        .isGreaterThan(10);
     assertThat(outcome.inTimeShare()).as(outcome.table()).isGreaterThan(0.5);
   }
 }
--- a/src/test/java/fordridge/emulator/invariant/ConstraintInvariantTest.java
+++ b/src/test/java/fordridge/emulator/invariant/ConstraintInvariantTest.java
@@ -26,8 +26,8 @@
             offer(4000, "m2", "b", 0, "safe")));
   }
 
-  private static long violations(Verdict verdict) {
-    return verdict.violations().stream()
+  private static long violations(InvariantReport report) {
+    return report.violations().stream()
         .filter(violation -> violation.invariant() == Invariant.TENANT_CONSTRAINTS_RESPECTED)
         .count();
   }
--- a/src/test/java/fordridge/emulator/invariant/Recordings.java
+++ b/src/test/java/fordridge/emulator/invariant/Recordings.java
@@ -33,7 +33,7 @@
   private Recordings() {}
 
   /** Checks a recording of the header and these events. */
-  static Verdict check(String... events) throws IOException {
+  static InvariantReport check(String... events) throws IOException {
     List<String> lines = new ArrayList<>(Arrays.asList(HEADER));
     lines.addAll(Arrays.asList(events));
     StringBuilder text = new StringBuilder();
@@ -102,18 +102,18 @@
     return timeUs + " rig rules placers=2 text=" + text.replace(' ', '~');
   }
 
-  static void assertKept(Verdict verdict) {
-    assertThat(verdict.violations()).as(verdict.text()).isEmpty();
-    assertThat(verdict.kept()).isTrue();
+  static void assertKept(InvariantReport report) {
+    assertThat(report.violations()).as(report.text()).isEmpty();
+    assertThat(report.allInvariantsHold()).isTrue();
   }
 
-  static void assertViolated(Verdict verdict, Invariant invariant, String description) {
-    assertThat(verdict.violations())
-        .as(verdict.text())
+  static void assertViolated(InvariantReport report, Invariant invariant, String description) {
+    assertThat(report.violations())
+        .as(report.text())
         .anyMatch(
             violation ->
                 violation.invariant() == invariant
                     && violation.description().contains(description));
-    assertThat(verdict.kept()).isFalse();
+    assertThat(report.allInvariantsHold()).isFalse();
   }
 }
--- a/src/test/java/fordridge/emulator/machine/MachineModelTest.java
+++ b/src/test/java/fordridge/emulator/machine/MachineModelTest.java
@@ -92,7 +92,7 @@
   private static HostedVm vm(String name, double cores, int priority, Duration runTime) {
     return new HostedVm(
         new VmOffer(
-            new AttemptId("scheduler", name, 0),
+            new HostedAttemptId("scheduler", name, 0),
             "web",
             "tenant",
             "client",
@@ -110,7 +110,7 @@
   @Example
   void offeredVmIsAcceptedStartsAndEndsAfterItsRunTime() {
     MachineModel model = model();
-    model.offered(vm("a", 2, 1, Duration.ofSeconds(1)));
+    model.offer(vm("a", 2, 1, Duration.ofSeconds(1)));
     model.advanceTo(SETTLE_TIME);
     assertThat(log.eventsExceptUsage())
         .containsExactly("accepted a", "started a", "finished a DONE");
@@ -119,9 +119,9 @@
   @Example
   void repeatedOfferGetsTheResponseAgainAndStartsNoSecondVm() {
     MachineModel model = model();
-    model.offered(vm("a", 2));
+    model.offer(vm("a", 2));
     model.advanceTo(SETTLE_TIME);
-    model.offered(vm("a", 2));
+    model.offer(vm("a", 2));
     model.advanceTo(SETTLE_TIME.multipliedBy(2));
     assertThat(log.eventsExceptUsage()).containsExactly("accepted a", "started a", "started a");
   }
@@ -129,7 +129,7 @@
   @Example
   void vmThatDoesNotFitIsRefused() {
     MachineModel model = model();
-    model.offered(vm("a", 9));
+    model.offer(vm("a", 9));
     model.advanceTo(SETTLE_TIME);
     assertThat(log.eventsExceptUsage()).containsExactly("refused a NO_CORES");
   }
@@ -138,7 +138,7 @@
   void offerBeyondTheQueueLimitIsRefusedAtOnce() {
     MachineModel model = model();
     for (String name : List.of("a", "b", "c", "d", "e")) {
-      model.offered(vm(name, 1));
+      model.offer(vm(name, 1));
     }
     assertThat(log.eventsExceptUsage()).containsExactly("refused e QUEUE_FULL");
   }
@@ -146,9 +146,9 @@
   @Example
   void vmOfHigherPriorityPreemptsOneOfLowerPriority() {
     MachineModel model = model(true, DrainPolicy.NONE, 1);
-    model.offered(vm("low", 6, 1, Duration.ZERO));
+    model.offer(vm("low", 6, 1, Duration.ZERO));
     model.advanceTo(SETTLE_TIME);
-    model.offered(vm("high", 6, 2, Duration.ZERO));
+    model.offer(vm("high", 6, 2, Duration.ZERO));
     model.advanceTo(SETTLE_TIME.multipliedBy(2));
     assertThat(log.eventsExceptUsage())
         .containsExactly(
@@ -162,10 +162,10 @@
   @Example
   void drainStopsRunningVmsAndRefusesNewOffers() {
     MachineModel model = model(false, DrainPolicy.AT_ONCE, 1);
-    model.offered(vm("a", 2));
+    model.offer(vm("a", 2));
     model.advanceTo(SETTLE_TIME);
     model.drain(Duration.ofSeconds(1));
-    model.offered(vm("b", 2));
+    model.offer(vm("b", 2));
     model.advanceTo(SETTLE_TIME.multipliedBy(2));
     assertThat(log.eventsExceptUsage())
         .containsExactly(
@@ -175,8 +175,8 @@
   @Example
   void cancelledOfferNeverRuns() {
     MachineModel model = model();
-    model.offered(vm("a", 2));
-    model.cancelled(new AttemptId("scheduler", "a", 0));
+    model.offer(vm("a", 2));
+    model.cancel(new HostedAttemptId("scheduler", "a", 0));
     model.advanceTo(SETTLE_TIME);
     assertThat(log.eventsExceptUsage()).containsExactly("finished a CANCELLED before it ran");
   }
@@ -190,7 +190,7 @@
     MachineModel model = model();
     model.restart(Duration.ofSeconds(1));
     for (int i = 1; i <= 9; i++) {
-      model.offered(vm("v" + i, 0.1));
+      model.offer(vm("v" + i, 0.1));
     }
     model.advanceTo(SETTLE_TIME);
     assertThat(log.eventsExceptUsage())
@@ -206,7 +206,7 @@
   void pausedMachineRunsDueEventsAfterItResumes() {
     MachineModel model = model();
     model.faults().setPaused(true);
-    model.offered(vm("a", 2));
+    model.offer(vm("a", 2));
     model.advanceTo(SETTLE_TIME);
     assertThat(log.eventsExceptUsage()).isEmpty();
     model.faults().setPaused(false);
@@ -228,7 +228,7 @@
     MachineModel model = model(true, DrainPolicy.PACED, seed);
     for (int i = 0; i < 50; i++) {
       model.advanceTo(Duration.ofMillis(100L * i));
-      model.offered(vm("v" + i, 1 + i % 3, i % 2, Duration.ofMillis(500L * (i % 4))));
+      model.offer(vm("v" + i, 1 + i % 3, i % 2, Duration.ofMillis(500L * (i % 4))));
     }
     model.drain(Duration.ofSeconds(1));
     model.advanceTo(Duration.ofSeconds(20));
--- a/src/test/java/fordridge/emulator/record/WireRecorderTest.java
+++ b/src/test/java/fordridge/emulator/record/WireRecorderTest.java
@@ -21,13 +21,13 @@
     File file = temporaryFile();
     try (WireRecorder recorder = new WireRecorder(file)) {
       recorder
-          .event("m1", RecordKind.FINISHED)
+          .event("m1", RecordedEventKind.FINISHED)
           .with(RecordField.VM, "o/v")
           .with(RecordField.ATTEMPT_NUMBER, 3)
           .with(RecordField.HAS_RUN, false)
           .with(RecordField.AMOUNT, 0.5)
           .write();
-      recorder.event("m1", RecordKind.CRASH).write();
+      recorder.event("m1", RecordedEventKind.CRASH).write();
     }
     List<String> lines = Files.readAllLines(file.toPath());
     assertThat(lines).hasSize(2);
@@ -42,7 +42,7 @@
     File file = temporaryFile();
     try (WireRecorder recorder = new WireRecorder(file)) {
       recorder
-          .event("m1", RecordKind.FINISHED)
+          .event("m1", RecordedEventKind.FINISHED)
           .with(RecordField.VM, "o/v")
           .with(RecordField.ATTEMPT_NUMBER, 3)
           .with(RecordField.HAS_RUN, false)
@@ -50,7 +50,7 @@
           .write();
     }
     RecordedEvent event = RecordedEvent.parse(Files.readAllLines(file.toPath()).get(0), 1);
-    assertThat(event.kind()).contains(RecordKind.FINISHED);
+    assertThat(event.kind()).contains(RecordedEventKind.FINISHED);
     assertThat(event.source()).isEqualTo("m1");
     assertThat(event.text(RecordField.VM)).isEqualTo("o/v");
     assertThat(event.whole(RecordField.ATTEMPT_NUMBER)).isEqualTo(3);
@@ -80,9 +80,9 @@
   void eventsAfterCloseAreDropped() throws IOException {
     File file = temporaryFile();
     WireRecorder recorder = new WireRecorder(file);
-    recorder.event("m1", RecordKind.CRASH).write();
+    recorder.event("m1", RecordedEventKind.CRASH).write();
     recorder.close();
-    recorder.event("m1", RecordKind.CRASH).write();
+    recorder.event("m1", RecordedEventKind.CRASH).write();
     assertThat(Files.readAllLines(file.toPath())).hasSize(1);
   }
 }
--- a/src/test/java/fordridge/etcd/EtcdMachineListTest.java
+++ b/src/test/java/fordridge/etcd/EtcdMachineListTest.java
@@ -99,14 +99,14 @@
   void compactionBetweenPagesRestartsTheSnapshot() throws Exception {
     try (EmulatedEtcd etcd = new EmulatedEtcd()) {
       putMachines(etcd, 40);
-      etcd.slowRanges(30);
+      etcd.setRangeDelayMillis(30);
       Thread compactor =
           new Thread(
               () -> {
-                awaitUntil(() -> etcd.ranges() >= 2);
+                awaitUntil(() -> etcd.rangeRequestCount() >= 2);
                 etcd.put("/c/machines/m00001", machine(2, 2));
-                etcd.compactNow();
-                etcd.slowRanges(0);
+                etcd.compactToLatestRevision();
+                etcd.setRangeDelayMillis(0);
               });
       compactor.start();
       try (EtcdMachineList list = openList(etcd, "etcd.page = 2")) {
@@ -123,14 +123,14 @@
     try (EmulatedEtcd etcd = new EmulatedEtcd()) {
       putMachines(etcd, 5);
       try (EtcdMachineList list = openList(etcd, "")) {
-        awaitUntil(() -> etcd.watchers() == 1);
-        etcd.leaderless(true);
+        awaitUntil(() -> etcd.watchCount() == 1);
+        etcd.setLeaderless(true);
         etcd.delete("/c/machines/m00001");
         etcd.delete("/c/machines/m00002");
         etcd.put("/c/machines/m00002", machine(77, 1));
         etcd.put("/c/drains/m00003", "{}");
-        etcd.compactNow();
-        etcd.leaderless(false);
+        etcd.compactToLatestRevision();
+        etcd.setLeaderless(false);
         awaitUntil(() -> entry(list, "m00001") == null);
         assertThat(entry(list, "m00002").address().getPort()).isEqualTo(77);
         assertThat(entry(list, "m00002").startedAt())
@@ -146,7 +146,7 @@
     try (EmulatedEtcd etcd = new EmulatedEtcd()) {
       putMachines(etcd, 5);
       try (EtcdMachineList list = openList(etcd, "")) {
-        etcd.repeat(true);
+        etcd.setRepeatsEvents(true);
         etcd.put("/c/drains/m00001", "{}");
         etcd.delete("/c/drains/m00001");
         etcd.put("/c/drains/m00001", "{}");
@@ -154,7 +154,7 @@
         List<Update> updates = new CopyOnWriteArrayList<>();
         list.watch(updates::add);
         awaitUntil(() -> updates.size() == 1);
-        etcd.cut();
+        etcd.endWatchStreams();
         etcd.put("/c/machines/m00009", machine(9, 1));
         awaitUntil(() -> entry(list, "m00009") != null);
         assertThat(list.snapshotCount()).isEqualTo(1);
@@ -178,12 +178,12 @@
       String quotedEndpoints =
           "\"127.0.0.1:" + first.port() + "\", \"127.0.0.1:" + second.port() + "\"";
       try (EtcdMachineList list = new EtcdMachineList(settings(quotedEndpoints, ""), "p", 1)) {
-        awaitUntil(() -> first.watchers() + second.watchers() == 1);
-        EmulatedEtcd silent = first.watchers() == 1 ? first : second;
+        awaitUntil(() -> first.watchCount() + second.watchCount() == 1);
+        EmulatedEtcd silent = first.watchCount() == 1 ? first : second;
         EmulatedEtcd healthy = silent == first ? second : first;
-        silent.silence(true);
+        silent.setSilent(true);
         long silentSinceNanos = System.nanoTime();
-        awaitUntil(() -> healthy.watchers() == 1);
+        awaitUntil(() -> healthy.watchCount() == 1);
         assertThat(Duration.ofNanos(System.nanoTime() - silentSinceNanos))
             .isLessThan(Duration.ofSeconds(4));
         healthy.put("/c/drains/m00001", "{}");
@@ -197,8 +197,8 @@
     try (EmulatedEtcd etcd = new EmulatedEtcd()) {
       putMachines(etcd, 3);
       try (EtcdMachineList list = openList(etcd, "")) {
-        awaitUntil(() -> etcd.watchers() == 1);
-        etcd.fragments(5, 2);
+        awaitUntil(() -> etcd.watchCount() == 1);
+        etcd.setFragmentation(5, 2);
         putMachines(etcd, 60);
         awaitUntil(() -> list.latest().entries().size() == 60);
       }
@@ -299,12 +299,12 @@
     try (EmulatedEtcd etcd = new EmulatedEtcd()) {
       putMachines(etcd, 3);
       try (EtcdMachineList list = openList(etcd, "")) {
-        awaitUntil(() -> etcd.watchers() == 1);
-        etcd.leaderless(true);
+        awaitUntil(() -> etcd.watchCount() == 1);
+        etcd.setLeaderless(true);
         etcd.put("/c/drains/m00001", "{}");
-        etcd.compactNow();
-        etcd.leaderless(false);
-        awaitUntil(() -> list.snapshotCount() == 2 && etcd.watchers() == 1);
+        etcd.compactToLatestRevision();
+        etcd.setLeaderless(false);
+        awaitUntil(() -> list.snapshotCount() == 2 && etcd.watchCount() == 1);
         etcd.revokeAll();
         long revisionWithoutRegistration = etcd.revision();
         awaitUntil(() -> etcd.revision() > revisionWithoutRegistration);
--- a/src/test/java/fordridge/etcd/JetcdTest.java
+++ b/src/test/java/fordridge/etcd/JetcdTest.java
@@ -96,7 +96,7 @@
       KV store = client.getKVClient();
       List<String> events = new CopyOnWriteArrayList<>();
       Watch.Watcher watcher = watch(client, events);
-      await().until(() -> etcd.watchers() == 1);
+      await().until(() -> etcd.watchCount() == 1);
       for (int i = 0; i < 5; i++) {
         get(store.put(bytes(PREFIX + i), bytes("v" + i)));
       }
@@ -143,7 +143,7 @@
       for (int i = 0; i < 5; i++) {
         get(client.getKVClient().put(bytes(PREFIX + i), bytes("v" + i)));
       }
-      etcd.compactNow();
+      etcd.compactToLatestRevision();
       List<Throwable> errors = new CopyOnWriteArrayList<>();
       Watch.Watcher watcher =
           client
--- a/src/test/java/fordridge/faults/FaultRigTest.java
+++ b/src/test/java/fordridge/faults/FaultInjectionTest.java
@@ -9,7 +9,7 @@
  * Real scheduler processes meet the obligations of the protocol under faults: some race conditions
  * that are forced, and a few generated plans. {@link FaultCampaign} runs more.
  */
-class FaultRigTest {
+class FaultInjectionTest {
   private static final long FIRST_SEED = 1;
   private static final int SEEDS = 16;
   private static final int MAX_EMPTY_POLLS = 10_000;
@@ -93,7 +93,7 @@
   }
 
   @Example
-  void drawnPlansAreKept() throws Exception {
+  void generatedPlansCauseNoViolation() throws Exception {
     List<FaultHarness.Result> failed = FaultCampaign.runPlans(FIRST_SEED, SEEDS);
     for (FaultHarness.Result result : failed) {
       System.out.println("failed: " + result.plan() + " " + result.violations());
--- a/src/test/java/fordridge/faults/StartWithHandoverTest.java
+++ b/src/test/java/fordridge/faults/RestartWithHandoverTest.java
@@ -10,7 +10,7 @@
  * services arrive. It offers no VM to a machine where the handed-over VMs already reach the limit,
  * or that the VM's class does not allow.
  */
-class StartWithHandoverTest {
+class RestartWithHandoverTest {
   private static final int LOG_LINES_SHOWN = 2000;
 
   private static void assertNoViolations(String... faults) throws Exception {
@@ -36,7 +36,7 @@
    * The offers are decided but wait for connections to their machines; the handover is read first.
    */
   @Example
-  void offerThatWaitsForItsConnectionIsDecidedAnewAfterAHandover() throws Exception {
+  void offerWaitingForConnectionIsReevaluatedAfterHandover() throws Exception {
     assertNoViolations("HANDOVER_CONNECTS_LATE@700=600", "PROCESS_KILLED@800=100");
   }
 
--- a/src/test/java/fordridge/faults/EndOfVmToldTest.java
+++ b/src/test/java/fordridge/faults/TerminationNoticeDeliveryTest.java
@@ -16,7 +16,7 @@
  * A real scheduler process notifies a client that its VM has ended, also when the end races with
  * answers, resets, handovers and other events. Each race is forced by a script.
  */
-class EndOfVmToldTest {
+class TerminationNoticeDeliveryTest {
   /** A notice is due this long after the machine's message. */
   private static final Duration NOTICE_TARGET = Duration.ofSeconds(1);
 
@@ -378,7 +378,7 @@
   }
 
   @Example
-  void machineThatLostItsAddressIsListedOnceMore() throws Exception {
+  void machineListedAgainDoesNotReclaimItsAddress() throws Exception {
     OfferedVm offered = offer(harness.addMachine(), harness.connect());
     offered.accept();
     ScriptedMachine successor = harness.replaceAtSameAddress(offered.machine);
--- a/src/test/java/fordridge/group/VmGroupTest.java
+++ b/src/test/java/fordridge/group/VmGroupTest.java
@@ -22,7 +22,7 @@
    */
   private static final class FakeCluster implements VmGroup.MemberActions {
     final VmGroup group;
-    final Map<String, Boolean> mayRunAgain = new HashMap<>();
+    final Map<String, Boolean> isIdempotentByVm = new HashMap<>();
     final Set<String> placing = new HashSet<>();
     final Set<String> running = new HashSet<>();
     final Set<String> mayHaveRun = new HashSet<>();
@@ -35,7 +35,7 @@
     }
 
     void request(String vm, boolean isIdempotent) {
-      mayRunAgain.put(vm, isIdempotent);
+      isIdempotentByVm.put(vm, isIdempotent);
       group.memberJoined(vm, isIdempotent);
     }
 
@@ -99,7 +99,7 @@
 
     @Override
     public void reject(String vm, String why) {
-      assertThat(mayHaveRun.contains(vm) && !mayRunAgain.get(vm))
+      assertThat(mayHaveRun.contains(vm) && !isIdempotentByVm.get(vm))
           .as("rejected though it ran")
           .isFalse();
       respond(vm, "rejected");
@@ -170,9 +170,9 @@
       switch (random.nextInt(8)) {
         case 0, 1 -> {
           vms.add("v" + vms.size());
-          cluster.mayRunAgain.put("v" + (vms.size() - 1), random.nextBoolean());
+          cluster.isIdempotentByVm.put("v" + (vms.size() - 1), random.nextBoolean());
           if (!cluster.group.memberJoined(
-              "v" + (vms.size() - 1), cluster.mayRunAgain.get("v" + (vms.size() - 1)))) {
+              "v" + (vms.size() - 1), cluster.isIdempotentByVm.get("v" + (vms.size() - 1)))) {
             vms.remove(vms.size() - 1);
           }
         }
--- a/src/test/java/fordridge/machine/ConnectionBudgetTest.java
+++ b/src/test/java/fordridge/machine/ConnectionBudgetTest.java
@@ -33,7 +33,7 @@
   private int notSentCount;
   private final List<PlacementAttempt> unanswered = new ArrayList<>();
   private final List<Runnable> nextTick = new ArrayList<>();
-  private final OfferAllowance sharedOffers = new OfferAllowance();
+  private final OfferConnectionQuota sharedOffers = new OfferConnectionQuota();
 
   /** A machine that runs one VM, rejects all others, and answers in the next tick. */
   private class FullMachine extends MachinePoolStub {
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void close(MachineConnection connection, MachineCloseReason reason) {
+    public void close(MachineConnection connection, MachineConnectionCloseReason reason) {
       established.remove(connection);
       closingCount++;
       nextTick.add(
--- a/src/test/java/fordridge/machine/MachinePoolStub.java
+++ b/src/test/java/fordridge/machine/MachinePoolStub.java
@@ -12,16 +12,16 @@
   private static final ConnectionTimeouts TIMEOUTS =
       new ConnectionTimeouts(Duration.ofMillis(250), Duration.ofSeconds(3));
 
-  final OfferAllowance offers;
+  final OfferConnectionQuota offers;
   final Machine machine;
   final MachineConnectionPool pool;
 
   MachinePoolStub(int machineId) {
-    this(machineId, new OfferAllowance());
+    this(machineId, new OfferConnectionQuota());
   }
 
   /** One of several pools that share the connections which may carry placement requests. */
-  MachinePoolStub(int machineId, OfferAllowance offers) {
+  MachinePoolStub(int machineId, OfferConnectionQuota offers) {
     this.offers = offers;
     machine = new Machine(machineId);
     pool = new MachineConnectionPool(machine, TIMEOUTS, offers, this, this);
@@ -42,7 +42,7 @@
   public void open(MachineConnection connection) {}
 
   @Override
-  public void close(MachineConnection connection, MachineCloseReason reason) {}
+  public void close(MachineConnection connection, MachineConnectionCloseReason reason) {}
 
   @Override
   public boolean isConnected(MachineConnection connection) {
@@ -84,7 +84,7 @@
   public void attemptEnded(PlacementAttempt attempt, Outcome outcome, OutcomeReason reason) {}
 
   @Override
-  public void unknownVmEnded(VmTermination termination, Machine ended) {}
+  public void unknownVmTerminated(VmTermination termination, Machine ended) {}
 
   @Override
   public void unknownVmAccepted(String vmId, Machine accepting) {}
--- a/src/test/java/fordridge/machine/PoolFixture.java
+++ b/src/test/java/fordridge/machine/PoolFixture.java
@@ -101,7 +101,7 @@
   }
 
   @Override
-  public void close(MachineConnection connection, MachineCloseReason reason) {
+  public void close(MachineConnection connection, MachineConnectionCloseReason reason) {
     connections.remove(connection);
   }
 
--- a/src/test/java/fordridge/machine/ReconnectPacerTest.java
+++ b/src/test/java/fordridge/machine/ReconciliationPacerTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-class ReconnectPacerTest {
+class ReconciliationPacerTest {
   private static final int MACHINES = 100;
   private static final int MAX_CONCURRENT = 8;
 
@@ -19,7 +19,7 @@
   @Property(tries = 200, seed = "4711")
   void everyMachineIsConnectedToOnceAndAFewConcurrently(@ForAll long seed) {
     Random random = new Random(seed);
-    ReconnectPacer<String> pacer = new ReconnectPacer<>();
+    ReconciliationPacer<String> pacer = new ReconciliationPacer<>();
     Set<String> all = new HashSet<>();
     for (int i = 0; i < MACHINES; i++) {
       all.add("m" + i);
--- a/src/test/java/fordridge/machine/UnsettledAttemptsTest.java
+++ b/src/test/java/fordridge/machine/UnsettledAttemptsTest.java
@@ -31,7 +31,7 @@
 
   private int unsettledCount() {
     Map<UnsettledReason, Integer> counts = new EnumMap<>(UnsettledReason.class);
-    fixture.pool.unsettled().countInto(counts);
+    fixture.pool.unsettled().addCountsTo(counts);
     return counts.values().stream().mapToInt(Integer::intValue).sum();
   }
 
@@ -103,7 +103,7 @@
     terminateOnOtherConnection(Outcome.CANCELLED);
     assertThat(unsettledCount()).isZero();
     assertThat(fixture.settledReleases).containsExactly("vm0");
-    assertThat(fixture.pool.isEndKept("vm0", fixture.now)).isFalse();
+    assertThat(fixture.pool.hasUnclaimedTermination("vm0", fixture.now)).isFalse();
   }
 
   @Example
@@ -111,7 +111,7 @@
     fixture.pool.connectionLost(requestConnection, fixture.now);
     terminateOnOtherConnection(Outcome.DONE);
     assertThat(unsettledCount()).isZero();
-    assertThat(fixture.pool.isEndKept("vm0", fixture.now)).isTrue();
+    assertThat(fixture.pool.hasUnclaimedTermination("vm0", fixture.now)).isTrue();
   }
 
   @Example
--- a/src/test/java/fordridge/machine/VmExecutionsTest.java
+++ b/src/test/java/fordridge/machine/VmExecutionsTest.java
@@ -144,9 +144,9 @@
           fixture.now);
     }
     PlacementAttempt first = fixture.newAttempt("earlier0", fixture.now);
-    assertThat(fixture.pool.isEndKept("earlier0", fixture.now)).isTrue();
+    assertThat(fixture.pool.hasUnclaimedTermination("earlier0", fixture.now)).isTrue();
     fixture.pool.adopt(first, fixture.now);
     assertThat(fixture.outcomes).containsEntry(first, Outcome.DONE);
-    assertThat(fixture.pool.displacedEndCount()).isZero();
+    assertThat(fixture.pool.displacedTerminationCount()).isZero();
   }
 }
--- a/src/test/java/fordridge/runtime/WatchReadTest.java
+++ b/src/test/java/fordridge/runtime/WatchReadTest.java
@@ -3,13 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import fordridge.machine.ConnectionTimeouts;
-import fordridge.machine.MachineCloseReason;
 import fordridge.machine.MachineConnection;
+import fordridge.machine.MachineConnectionCloseReason;
 import fordridge.machine.MachineConnectionListener;
 import fordridge.machine.MachineConnectionPool;
 import fordridge.machine.MachineFailure;
 import fordridge.machine.MachineTransport;
-import fordridge.machine.OfferAllowance;
+import fordridge.machine.OfferConnectionQuota;
 import fordridge.machine.VmTermination;
 import fordridge.model.Machine;
 import fordridge.model.PlacementAttempt;
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void close(MachineConnection connection, MachineCloseReason reason) {}
+    public void close(MachineConnection connection, MachineConnectionCloseReason reason) {}
 
     @Override
     public boolean isConnected(MachineConnection connection) {
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public void unknownVmEnded(VmTermination termination, Machine ended) {}
+    public void unknownVmTerminated(VmTermination termination, Machine ended) {}
 
     @Override
     public void unknownVmAccepted(String vmId, Machine accepting) {}
@@ -140,7 +140,7 @@
       new MachineConnectionPool(
           machine,
           new ConnectionTimeouts(Duration.ofMillis(250), Duration.ofSeconds(3)),
-          new OfferAllowance(),
+          new OfferConnectionQuota(),
           transport,
           outcomes);
   private Duration time = Duration.ZERO;
@@ -154,7 +154,7 @@
   private boolean isDrainRead;
 
   private void enterCostly(Runnable input) {
-    sequencer.enter(
+    sequencer.submit(
         () -> {
           time = time.plus(INPUT_COST);
           input.run();
@@ -164,7 +164,7 @@
   private void readWatch() {
     if (time.compareTo(DRAINED_AT) >= 0 && !isDrainRead) {
       isDrainRead = true;
-      sequencer.enter(() -> connectionPool.machineListed(Machine.Lifecycle.DRAINING, time));
+      sequencer.submit(() -> connectionPool.machineListed(Machine.Lifecycle.DRAINING, time));
     }
   }
 
@@ -174,7 +174,7 @@
    */
   @Example
   void noOfferIsWrittenLongAfterADrainInALongLoopTurn() {
-    sequencer.watch(this::readWatch, READ_INTERVAL);
+    sequencer.setWatchReader(this::readWatch, READ_INTERVAL);
     for (int i = 0; i < OFFERS; i++) {
       connectionPool.offer(
           new PlacementAttempt(new Vm("vm" + i), machine, 0, time),
@@ -202,25 +202,25 @@
   @Example
   void eventEnteredFromTheWatchDoesNotCountAsAWatchRead() {
     List<Duration> known = new ArrayList<>();
-    sequencer.watch(() -> {}, READ_INTERVAL);
+    sequencer.setWatchReader(() -> {}, READ_INTERVAL);
     time = READ_INTERVAL;
-    sequencer.enter(() -> {});
+    sequencer.submit(() -> {});
     time = time.plus(READ_INTERVAL.multipliedBy(2));
-    sequencer.enterFromWatch(() -> known.add(sequencer.watchReadAt()));
+    sequencer.submitFromWatch(() -> known.add(sequencer.watchReadAt()));
     assertThat(known).containsExactly(READ_INTERVAL);
   }
 
   @Example
   void watchIsReadOnlyWhenDueAndNeverReentrantly() {
     List<Duration> reads = new ArrayList<>();
-    sequencer.watch(
+    sequencer.setWatchReader(
         () -> {
           reads.add(time);
-          sequencer.enter(() -> {});
+          sequencer.submit(() -> {});
         },
         READ_INTERVAL);
     for (int i = 0; i < OFFERS; i++) {
-      enterCostly(() -> sequencer.enter(() -> {}));
+      enterCostly(() -> sequencer.submit(() -> {}));
     }
     assertThat(reads)
         .hasSize((int) (OFFERS * INPUT_COST.toMillis() / READ_INTERVAL.toMillis()) - 1);
--- a/src/test/java/fordridge/scheduling/ConfirmSendTest.java
+++ b/src/test/java/fordridge/scheduling/ConfirmSendTest.java
@@ -42,7 +42,7 @@
     return vm;
   }
 
-  private Optional<OfferObstacle> obstacle() {
+  private Optional<NotSentReason> confirmSend() {
     machine.ejectedUntil = ejectedUntil;
     fixture.scheduler.advanceTo(fixture.now);
     return fixture.scheduler.confirmSend(unsentAttempt);
@@ -54,14 +54,14 @@
     adoptVm(SERVICE);
     fixture.now = fixture.now.plusMillis(500);
     assertThat(unsentAttempt.machine).isSameAs(machine);
-    assertThat(obstacle()).isEmpty();
+    assertThat(confirmSend()).isEmpty();
   }
 
   @Example
-  void vmsOfItsServiceWereHandedOver() {
+  void adoptedVmsReachTheSpreadLimit() {
     adoptVm(SERVICE);
     adoptVm(SERVICE);
-    assertThat(obstacle()).contains(OfferObstacle.SPREAD_LIMIT);
+    assertThat(confirmSend()).contains(NotSentReason.SPREAD_LIMIT);
   }
 
   @Example
@@ -69,28 +69,28 @@
     Vm ended = adoptVm(SERVICE);
     adoptVm(SERVICE);
     fixture.end(ended.acceptedAttempt, Outcome.DONE, OutcomeReason.UNSPECIFIED);
-    assertThat(obstacle()).isEmpty();
+    assertThat(confirmSend()).isEmpty();
   }
 
   @Example
-  void aVmOfItsServiceWasHandedOverWhileAnotherAttemptIsOut() {
+  void adoptedVmAndAttemptInFlightReachTheSpreadLimit() {
     requestVm("fragile");
     adoptVm(SERVICE);
-    assertThat(obstacle()).contains(OfferObstacle.SPREAD_LIMIT);
+    assertThat(confirmSend()).contains(NotSentReason.SPREAD_LIMIT);
   }
 
   @Example
-  void anAttemptMayStillRunThoughItsConnectionBroke() {
+  void attemptWithBrokenConnectionCountsForTheSpreadLimit() {
     adoptVm(SERVICE);
     PlacementAttempt broken = adoptSecondVmOfService();
     broken.mayStillRun = true;
     fixture.end(broken, Outcome.RESET, OutcomeReason.UNSPECIFIED);
-    assertThat(obstacle())
+    assertThat(confirmSend())
         .as("an attempt whose connection broke may still run")
-        .contains(OfferObstacle.SPREAD_LIMIT);
+        .contains(NotSentReason.SPREAD_LIMIT);
 
-    fixture.scheduler.endConfirmed(broken.vm.id, machine);
-    assertThat(obstacle()).as("its machine has confirmed that the VM does not run").isEmpty();
+    fixture.scheduler.vmEndConfirmed(broken.vm.id, machine);
+    assertThat(confirmSend()).as("its machine has confirmed that the VM does not run").isEmpty();
   }
 
   /** Adopts another VM of the service on the same machine, where its limit is two. */
@@ -116,55 +116,55 @@
   }
 
   @Example
-  void itsClientHasLeft() {
+  void clientHasLeft() {
     fixture.finished.add(unsentAttempt.vm);
-    fixture.scheduler.clientLeft(unsentAttempt.vm);
-    assertThat(obstacle()).contains(OfferObstacle.CLIENT_LEFT);
+    fixture.scheduler.requestAbandoned(unsentAttempt.vm);
+    assertThat(confirmSend()).contains(NotSentReason.CLIENT_LEFT);
   }
 
   @Example
-  void itsDeadlineHasPassed() {
+  void deadlineHasPassed() {
     fixture.now = unsentAttempt.vm.deadline;
-    assertThat(obstacle()).contains(OfferObstacle.DEADLINE_PASSED);
+    assertThat(confirmSend()).contains(NotSentReason.DEADLINE_PASSED);
   }
 
   @Example
   void machineIsDrainingOrGone() {
     fixture.listMachine(machine, Lifecycle.DRAINING, null);
-    assertThat(obstacle()).contains(OfferObstacle.MACHINE_NOT_LIVE);
+    assertThat(confirmSend()).contains(NotSentReason.MACHINE_NOT_LIVE);
     fixture.listMachine(machine, Lifecycle.GONE, null);
-    assertThat(obstacle()).contains(OfferObstacle.MACHINE_NOT_LIVE);
+    assertThat(confirmSend()).contains(NotSentReason.MACHINE_NOT_LIVE);
   }
 
   @Example
   void machineIsOfAnotherKind() {
     machine.kind = "small";
     fixture.listMachine(machine, Lifecycle.LIVE, null);
-    assertThat(obstacle()).contains(OfferObstacle.KIND_NOT_ALLOWED);
+    assertThat(confirmSend()).contains(NotSentReason.KIND_NOT_ALLOWED);
   }
 
   @Example
-  void itsMachineWasEjected() {
+  void machineWasEjected() {
     ejectedUntil = fixture.now.plusSeconds(1);
-    assertThat(obstacle()).contains(OfferObstacle.MACHINE_EJECTED);
+    assertThat(confirmSend()).contains(NotSentReason.MACHINE_EJECTED);
   }
 
   @Example
-  void theLimitWasLoweredByAReload() {
+  void spreadLimitWasLoweredByAReload() {
     adoptVm(SERVICE);
-    assertThat(obstacle()).isEmpty();
+    assertThat(confirmSend()).isEmpty();
     fixture.changeSetting("extra.classMost", List.of(9L, 3L, 1L));
-    assertThat(obstacle()).contains(OfferObstacle.SPREAD_LIMIT);
+    assertThat(confirmSend()).contains(NotSentReason.SPREAD_LIMIT);
   }
 
   @Example
   void theShutdownHasBegun() {
     fixture.scheduler.shutdownStarted();
-    assertThat(obstacle()).contains(OfferObstacle.SHUTDOWN);
+    assertThat(confirmSend()).contains(NotSentReason.SHUTDOWN);
   }
 
   @Example
-  void itsMachineRestartedAndTheQuotaOfSlowStartIsUsedUp() {
+  void slowStartQuotaOfRestartedMachineIsUsedUp() {
     fixture.now = fixture.now.plusSeconds(2);
     fixture.scheduler.advanceTo(fixture.now);
     fixture.listMachine(machine, Lifecycle.LIVE, fixture.now.minusMillis(10));
@@ -173,19 +173,19 @@
       sent++;
     }
     assertThat(sent).as("attempts within the quota").isBetween(1, 19);
-    assertThat(obstacle()).contains(OfferObstacle.SLOW_START);
+    assertThat(confirmSend()).contains(NotSentReason.SLOW_START);
   }
 
   @Example
-  void anInventoryIsAwaitedThatMayNameVmsOfItsService() {
+  void inventoryOfTheMachineIsAwaited() {
     fixture.scheduler.inventoryAwaited(machine);
-    assertThat(obstacle()).contains(OfferObstacle.SPREAD_LIMIT);
+    assertThat(confirmSend()).contains(NotSentReason.SPREAD_LIMIT);
     fixture.scheduler.inventoryReceived(machine);
-    assertThat(obstacle()).isEmpty();
+    assertThat(confirmSend()).isEmpty();
   }
 
   @Example
-  void theWindowOfAnEarlierAttemptHasPassed() {
+  void deduplicationWindowOfAnEarlierAttemptHasPassed() {
     Vm vm = fixture.request("dedup", 1, 1, 50);
     fixture.end(vm.lastAttempt(), Outcome.RESET, OutcomeReason.UNSPECIFIED);
     PlacementAttempt second = vm.lastAttempt();
@@ -193,6 +193,6 @@
     assertThat(fixture.scheduler.confirmSend(second)).isEmpty();
     fixture.now = fixture.now.plus(Duration.ofSeconds(3));
     fixture.scheduler.advanceTo(fixture.now);
-    assertThat(fixture.scheduler.confirmSend(second)).contains(OfferObstacle.WINDOW_CLOSED);
+    assertThat(fixture.scheduler.confirmSend(second)).contains(NotSentReason.WINDOW_CLOSED);
   }
 }
--- a/src/test/java/fordridge/scheduling/PendingVmTest.java
+++ b/src/test/java/fordridge/scheduling/PendingVmTest.java
@@ -30,7 +30,7 @@
    * and end than fit on the machine at once.
    */
   @Example
-  void vmsThatAreOverGiveTheirCapacityBackThoughTheListHasNoNews() {
+  void endedVmsReleaseTheirReservationsBeforeTheNextList() {
     SchedulerFixture fixture = SchedulerFixture.started(1);
     for (int i = 0; i < 60; i++) {
       Vm vm = fixture.request("retryable", 1, 1, 1);
--- a/src/test/java/fordridge/scheduling/SchedulerFixture.java
+++ b/src/test/java/fordridge/scheduling/SchedulerFixture.java
@@ -50,8 +50,8 @@
   Duration timerAt;
   boolean isWatching;
 
-  /** What the scheduler is told about unread input, see {@link SchedulerActions#isInputRead}. */
-  boolean isInputRead = true;
+  /** The result of {@link SchedulerActions#isAllInputRead}. */
+  boolean isAllInputRead = true;
 
   String tenant = "";
   int rejectedCount;
@@ -312,7 +312,7 @@
       Vm vm = vms.get(random.nextInt(vms.size()));
       if (!vm.isFinished) {
         finished.add(vm);
-        scheduler.clientLeft(vm);
+        scheduler.requestAbandoned(vm);
       }
     }
   }
@@ -338,8 +338,8 @@
   }
 
   @Override
-  public boolean isInputRead() {
-    return isInputRead;
+  public boolean isAllInputRead() {
+    return isAllInputRead;
   }
 
   @Override
--- a/src/test/java/fordridge/scheduling/UnreadInputTest.java
+++ b/src/test/java/fordridge/scheduling/UnreadInputTest.java
@@ -17,27 +17,27 @@
 
   @Example
   void requestWaitsUntilInputIsRead() {
-    fixture.isInputRead = false;
+    fixture.isAllInputRead = false;
     Vm vm = fixture.request("retryable", 1, 1, 1);
     assertThat(vm.attempts).isEmpty();
 
-    fixture.isInputRead = true;
-    fixture.scheduler.inputRead();
+    fixture.isAllInputRead = true;
+    fixture.scheduler.allInputRead();
 
     assertThat(vm.attempts).hasSize(1);
   }
 
   @Example
   void vmsAdoptedMeanwhileCountForTheSpreadLimit() {
-    fixture.isInputRead = false;
+    fixture.isAllInputRead = false;
     Vm vm = fixture.request("fragile", 1, 1, 1);
     for (Machine machine : fixture.machines) {
       adoptVm(machine);
       adoptVm(machine);
     }
 
-    fixture.isInputRead = true;
-    fixture.scheduler.inputRead();
+    fixture.isAllInputRead = true;
+    fixture.scheduler.allInputRead();
 
     assertThat(vm.attempts).isEmpty();
   }
@@ -56,13 +56,13 @@
     fixture.machines.forEach(machine -> machine.freeMemory = -100);
     Vm vm = fixture.request("retryable", 1, 1, 1);
     fixture.machines.forEach(machine -> machine.freeMemory = 30);
-    fixture.isInputRead = false;
+    fixture.isAllInputRead = false;
     fixture.advance(Duration.ofMillis(300));
     fixture.scheduler.loadReported(fixture.machines.get(0));
     assertThat(vm.attempts).isEmpty();
 
-    fixture.isInputRead = true;
-    fixture.scheduler.inputRead();
+    fixture.isAllInputRead = true;
+    fixture.scheduler.allInputRead();
 
     assertThat(vm.attempts).hasSize(1);
   }
@@ -72,7 +72,7 @@
    * machine.
    */
   @Example
-  void requestThatWasNotSentIsTriedAgainOnTheSameMachine() {
+  void unsentAttemptDoesNotExcludeItsMachine() {
     SchedulerFixture single = SchedulerFixture.started(1);
     Vm vm = single.request("retryable", 1, 1, 1);
     int maxAttempts = 3;
--- a/src/test/java/fordridge/server/grpc/GroupCoordinatorTest.java
+++ b/src/test/java/fordridge/server/grpc/GroupCoordinatorTest.java
@@ -72,9 +72,9 @@
     join("a");
     join("b");
     groups.discardPlans();
-    pendingPlans.remove().accept(GroupPlan.unconstrained(List.of("a", "b")));
+    pendingPlans.remove().accept(GroupPlan.withoutRestrictions(List.of("a", "b")));
     assertThat(actions).isEmpty();
-    pendingPlans.remove().accept(GroupPlan.unconstrained(List.of("b", "a")));
+    pendingPlans.remove().accept(GroupPlan.withoutRestrictions(List.of("b", "a")));
     assertThat(actions).containsExactly("place b", "place a");
   }
 
@@ -87,7 +87,7 @@
     assertThat(groups.isMember(b)).isFalse();
     join("a");
     Consumer<GroupPlan> outdatedPlan = pendingPlans.remove();
-    outdatedPlan.accept(GroupPlan.unconstrained(List.of("a", "b")));
+    outdatedPlan.accept(GroupPlan.withoutRestrictions(List.of("a", "b")));
     assertThat(actions).as("the ended group's plan places no member of the new group").hasSize(2);
   }
 }
--- a/src/test/java/fordridge/server/grpc/GrpcTestPeers.java
+++ b/src/test/java/fordridge/server/grpc/GrpcTestPeers.java
@@ -60,7 +60,7 @@
   final File folder;
   final List<MachinePeer> machines = new ArrayList<>();
   private final List<Peer> peers = new ArrayList<>();
-  PlacerCommand scheduler;
+  PlacerProcess scheduler;
 
   /** A machine or client that is connected to the scheduler. */
   private interface Peer extends AutoCloseable {
@@ -85,7 +85,7 @@
   void startScheduler(String overrides) throws IOException, InvalidSettingsException {
     writeMachineList("");
     scheduler =
-        new PlacerCommand(
+        new PlacerProcess(
             DeploymentSettings.read(
                 ConfigFactory.parseString(overrides)
                     .withFallback(ConfigFactory.parseString(DEFAULT_SETTINGS)),
--- a/src/test/java/fordridge/session/ClientSessionsTest.java
+++ b/src/test/java/fordridge/session/ClientSessionsTest.java
@@ -147,12 +147,12 @@
   @Example
   void eventLoopLagCountsForUpToTwoWindows() {
     EventLoopLag lag = new EventLoopLag(Duration.ofSeconds(2));
-    lag.seen(Duration.ofMillis(400), Duration.ofMillis(100));
-    lag.seen(Duration.ofMillis(5), Duration.ofMillis(2200));
-    assertThat(lag.allowance(Duration.ofMillis(2300))).isEqualTo(Duration.ofMillis(400));
-    lag.seen(Duration.ofMillis(7), Duration.ofMillis(4300));
-    assertThat(lag.allowance(Duration.ofMillis(4400))).isEqualTo(Duration.ofMillis(7));
-    assertThat(lag.allowance(Duration.ofSeconds(60))).isEqualTo(Duration.ZERO);
+    lag.record(Duration.ofMillis(400), Duration.ofMillis(100));
+    lag.record(Duration.ofMillis(5), Duration.ofMillis(2200));
+    assertThat(lag.maxRecentLag(Duration.ofMillis(2300))).isEqualTo(Duration.ofMillis(400));
+    lag.record(Duration.ofMillis(7), Duration.ofMillis(4300));
+    assertThat(lag.maxRecentLag(Duration.ofMillis(4400))).isEqualTo(Duration.ofMillis(7));
+    assertThat(lag.maxRecentLag(Duration.ofSeconds(60))).isEqualTo(Duration.ZERO);
   }
 
   @Example
--- a/src/test/java/fordridge/session/PendingResponsesTest.java
+++ b/src/test/java/fordridge/session/PendingResponsesTest.java
@@ -36,7 +36,7 @@
     assertThat(responses.requestReceived("a", "other")).isEqualTo(Admission.DUPLICATE);
     assertThat(responses.vmTerminated("a", Outcome.DONE, NOW)).isEmpty();
     assertThat(responses.takeAccepted("a")).contains("connection");
-    assertThat(responses.takeDeclined("a")).isEmpty();
+    assertThat(responses.takeUnaccepted("a")).isEmpty();
     assertThat(responses.vmTerminated("a", Outcome.DONE, NOW)).contains("connection");
     assertThat(responses.vmTerminated("a", Outcome.DONE, NOW)).isEmpty();
     assertThat(responses.runningVms()).isZero();
@@ -68,7 +68,7 @@
       assertThat(responses.requestReceived(vmId, "connection")).isEqualTo(Admission.ADMITTED);
     }
     assertThat(responses.requestReceived("d", "connection")).isEqualTo(Admission.OVER_CAPACITY);
-    responses.takeDeclined("a");
+    responses.takeUnaccepted("a");
     assertThat(responses.requestReceived("d", "connection")).isEqualTo(Admission.ADMITTED);
   }
 
@@ -138,8 +138,8 @@
   void vmEndedByItsClientGetsNoNotice() {
     responses.requestReceived("a", "connection");
     responses.takeAccepted("a");
-    assertThat(responses.endedByClient("a")).isTrue();
-    assertThat(responses.endedByClient("a")).isFalse();
+    assertThat(responses.terminatedByClient("a")).isTrue();
+    assertThat(responses.terminatedByClient("a")).isFalse();
     assertThat(responses.vmTerminated("a", Outcome.CANCELLED, NOW)).isEmpty();
     assertThat(responses.takeDeferredNotices(NOW)).isEmpty();
   }
@@ -172,7 +172,7 @@
         }
         case 1 -> {
           boolean accepted = random.nextBoolean();
-          (accepted ? registry.takeAccepted(vmId) : registry.takeDeclined(vmId))
+          (accepted ? registry.takeAccepted(vmId) : registry.takeUnaccepted(vmId))
               .ifPresent(
                   recipient -> {
                     assertThat(recipient).isEqualTo(requested.get(vmId));
@@ -180,7 +180,7 @@
                   });
         }
         case 2 -> registry.vmTerminated(vmId, Outcome.DONE, NOW);
-        case 3 -> registry.endedByClient(vmId);
+        case 3 -> registry.terminatedByClient(vmId);
         default ->
             registry
                 .connectionClosed(connection)
@@ -189,7 +189,7 @@
       assertThat(registry.pendingRequests()).isBetween(0, 20);
     }
     for (String vmId : vmIds) {
-      registry.endedByClient(vmId);
+      registry.terminatedByClient(vmId);
     }
     registry.expireNotices(NOW.plusSeconds(9));
     assertThat(registry.pendingRequests() + registry.runningVms()).isZero();
