--- a/src/main/java/fordridge/cli/ConstraintsCommand.java
+++ b/src/main/java/fordridge/cli/ConstraintsCommand.java
@@ -3,7 +3,7 @@
 import fordridge.constraint.ConstraintParser;
 import fordridge.constraint.ConstraintSyntaxException;
 import fordridge.constraint.PlacementConstraint;
-import fordridge.server.grpc.PlacerCommand;
+import fordridge.server.grpc.PlacerProcess;
 import fordridge.settings.InvalidSettingsException;
 import java.io.File;
 import java.io.IOException;
@@ -15,10 +15,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code constraints}: checks the tenants' constraints, and prints them in their normal form. */
+/** {@code constraints}: validates tenants' constraints, and prints them in normal form. */
 @Command(
     name = "constraints",
-    description = "Checks a set of tenants' constraints and prints it in normal form.",
+    description = "Validates tenants' constraints and prints them in normal form.",
     mixinStandardHelpOptions = true)
 final class ConstraintsCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE")
@@ -27,7 +27,7 @@
   @Option(
       names = "--config",
       paramLabel = "FILE",
-      description = "Settings: names, and the list's machines, are checked against them.")
+      description = "Settings file; names and listed machines are checked against it.")
   private File config;
 
   @Override
@@ -35,7 +35,7 @@
     String text = Files.readString(file.toPath());
     List<PlacementConstraint> constraints = parse(text);
     if (config != null) {
-      constraints = PlacerCommand.readConstraints(text, Cli.readSettings(config, Map.of()));
+      constraints = PlacerProcess.readConstraints(text, Cli.readSettings(config, Map.of()));
     }
     System.out.print(ConstraintParser.format(constraints));
     return ExitCode.OK;
--- a/src/main/java/fordridge/constraint/GroupConstraints.java
+++ b/src/main/java/fordridge/constraint/GroupConstraints.java
@@ -8,62 +8,63 @@
 import java.util.Set;
 
 /**
- * The required constraints that concern a group, and a copy of the counts of running VMs that they
- * are judged by.
+ * The required constraints that apply to a group, with a copy of the counts of running VMs that
+ * they are evaluated against.
  *
- * @param constraints in the set's order
- * @param schedulerCount how many schedulers share the cluster-wide limits
- * @param countsByKey running VMs by domain, as constraints count them
- * @param domainsByAffinity the domains that each affinity draws to by what runs already
+ * @param constraints in the order of the set
+ * @param schedulerCount the number of schedulers that share the cluster-wide limits
+ * @param countsByKey running VMs by domain, for each counter that the constraints need
+ * @param targetDomainsByAffinity for each affinity, the domains in which its targets already run
  */
 record GroupConstraints(
     List<PlacementConstraint> constraints,
     int schedulerCount,
-    Map<CounterKey, Map<TopologyDomain, Integer>> countsByKey,
-    Map<Affinity, Set<TopologyDomain>> domainsByAffinity) {
+    Map<CounterKey, Map<PlacementDomain, Integer>> countsByKey,
+    Map<Affinity, Set<PlacementDomain>> targetDomainsByAffinity) {
 
   static GroupConstraints capture(
       List<PlacementConstraint> all,
       List<GroupMember> members,
       PlacementCounters counters,
       int schedulerCount) {
-    List<PlacementConstraint> concerning = new ArrayList<>();
-    Map<CounterKey, Map<TopologyDomain, Integer>> countsByKey = new HashMap<>();
-    Map<Affinity, Set<TopologyDomain>> domainsByAffinity = new HashMap<>();
+    List<PlacementConstraint> applicable = new ArrayList<>();
+    Map<CounterKey, Map<PlacementDomain, Integer>> countsByKey = new HashMap<>();
+    Map<Affinity, Set<PlacementDomain>> targetDomainsByAffinity = new HashMap<>();
     for (PlacementConstraint constraint : all) {
-      List<GroupMember> concerned =
-          members.stream().filter(member -> concerns(constraint, member)).toList();
-      if (!constraint.isRequired() || concerned.isEmpty()) {
+      List<GroupMember> affectedMembers =
+          members.stream().filter(member -> appliesTo(constraint, member)).toList();
+      if (!constraint.isRequired() || affectedMembers.isEmpty()) {
         continue;
       }
-      concerning.add(constraint);
+      applicable.add(constraint);
       if (constraint.clause() instanceof Affinity affinity) {
-        domainsByAffinity.put(affinity, counters.affinityCounter(affinity).copyOfCounts().keySet());
+        targetDomainsByAffinity.put(
+            affinity, counters.affinityCounter(affinity).copyOfCounts().keySet());
         continue;
       }
-      for (GroupMember member : concerned) {
+      for (GroupMember member : affectedMembers) {
         for (CounterKey key : CounterKey.keysOf(constraint, member.vm().service())) {
           countsByKey.put(key, counters.counter(key).copyOfCounts());
         }
       }
     }
     return new GroupConstraints(
-        List.copyOf(concerning), schedulerCount, countsByKey, domainsByAffinity);
+        List.copyOf(applicable), schedulerCount, countsByKey, targetDomainsByAffinity);
   }
 
-  private static boolean concerns(PlacementConstraint constraint, GroupMember member) {
+  private static boolean appliesTo(PlacementConstraint constraint, GroupMember member) {
     return constraint.scope().covers(member.vm())
         || (constraint.clause() instanceof PlacementConstraint.AntiAffinity antiAffinity
             && antiAffinity.other().covers(member.vm()));
   }
 
-  /** Running VMs by domain; empty where none is counted. */
-  Map<TopologyDomain, Integer> counts(CounterKey key) {
+  /** Returns the counts of running VMs by domain; empty if there are none. */
+  Map<PlacementDomain, Integer> counts(CounterKey key) {
     return countsByKey.getOrDefault(key, Map.of());
   }
 
-  /** The domains that an affinity draws to by what runs already; empty while nothing runs. */
-  Set<TopologyDomain> domains(Affinity affinity) {
-    return domainsByAffinity.getOrDefault(affinity, Set.of());
+  /** Returns the domains in which targets of an affinity already run; empty if none run. */
+  Set<PlacementDomain> targetDomains(Affinity affinity) {
+    return targetDomainsByAffinity.getOrDefault(affinity, Set.of());
   }
 }
--- a/src/main/java/fordridge/constraint/GroupFeasibility.java
+++ b/src/main/java/fordridge/constraint/GroupFeasibility.java
@@ -7,12 +7,15 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Answers whether the members of a group can run all at once, on machines and beside VMs as they
- * were when the question was put; may be asked on another thread. Free of I/O and clocks.
+ * Determines whether all members of a group can run at the same time.
  *
- * <p>Members are judged by where they end up. Affinity holds among the members themselves and with
- * what ran already. A maximum skew is left out, as it depends on the order in which VMs are placed;
- * so INFEASIBLE is certain, and FEASIBLE is a place for each that the order may still spoil.
+ * <p>Machines and running VMs are a snapshot from the creation of the problem, so that it may be
+ * solved on another thread. The search does no I/O and reads no clock.
+ *
+ * <p>Members are evaluated by their final placement. An affinity is satisfied by other members and
+ * by VMs that already run. A maximum skew is ignored, as it depends on the order in which VMs are
+ * placed. INFEASIBLE is therefore certain, whereas a FEASIBLE placement can still fail in an
+ * unfavorable order.
  */
 public final class GroupFeasibility {
   private final GroupProblem problem;
@@ -22,9 +25,9 @@
   }
 
   /**
-   * Searches for a placement of all members, and for an infeasible group for a smallest set of
+   * Searches for a placement of all members and, for an infeasible group, for a minimal set of
    * conflicting constraints. The search is bounded; {@code shouldStop} is polled and ends it with
-   * what is known by then.
+   * what is known so far.
    */
   public FeasibilityResult solve(BooleanSupplier shouldStop) {
     if (problem.machineCount() == 0) {
@@ -38,7 +41,7 @@
     if (result.verdict() != Verdict.INFEASIBLE) {
       return result;
     }
-    // A conflict that exists without capacity is reported as one of the constraints alone.
+    // If the constraints conflict even without capacity, only the constraints are reported.
     boolean isCapacityExceeded =
         new GroupModel(problem, constraints, false, shouldStop).solve().verdict()
             != Verdict.INFEASIBLE;
@@ -48,14 +51,14 @@
   }
 
   /**
-   * The smallest domains that a member must share with another member; empty if it need not share
-   * any.
+   * Returns the level of the smallest domain that affinities require a member to share with another
+   * member; empty if there is no such affinity.
    */
-  Optional<TopologyLevel> levelSharedWithOthers(GroupMember member) {
+  Optional<TopologyLevel> requiredSharedLevel(GroupMember member) {
     Optional<TopologyLevel> smallest = Optional.empty();
     for (PlacementConstraint constraint : problem.constraints().constraints()) {
       if (constraint.clause() instanceof PlacementConstraint.Affinity affinity
-          && isTiedToAnother(member, constraint.scope(), affinity.other())
+          && hasAffinityWithOtherMember(member, constraint.scope(), affinity.other())
           && (smallest.isEmpty() || affinity.level().compareTo(smallest.get()) < 0)) {
         smallest = Optional.of(affinity.level());
       }
@@ -63,7 +66,7 @@
     return smallest;
   }
 
-  private boolean isTiedToAnother(
+  private boolean hasAffinityWithOtherMember(
       GroupMember member, PlacementConstraint.Scope scope, PlacementConstraint.Scope other) {
     return problem.members().stream()
         .filter(candidate -> !candidate.id().equals(member.id()))
@@ -74,20 +77,21 @@
   }
 
   /**
-   * How many machines are open to the member that has the fewest; 0 for a group without members.
+   * Returns the number of candidate machines of the member with the fewest; 0 for a group without
+   * members.
    */
-  int fewestOpenMachines() {
-    OpenMachines openMachines =
-        new OpenMachines(problem, problem.constraints().constraints(), true);
-    int fewest = problem.memberCount() == 0 ? 0 : Integer.MAX_VALUE;
+  int minCandidateMachines() {
+    MemberCandidates candidates =
+        new MemberCandidates(problem, problem.constraints().constraints(), true);
+    int minCandidates = problem.memberCount() == 0 ? 0 : Integer.MAX_VALUE;
     for (int member = 0; member < problem.memberCount(); member++) {
-      fewest = Math.min(fewest, openMachines.find(member).length);
+      minCandidates = Math.min(minCandidates, candidates.find(member).length);
     }
-    return fewest;
+    return minCandidates;
   }
 
-  /** The machine of a name that the solution gave. */
-  MachineTopology machineNamed(String name) {
-    return problem.machineNamed(name);
+  /** Returns the machine with a name that the solution contains. */
+  MachineTopology machineByName(String name) {
+    return problem.machineByName(name);
   }
 }
--- a/src/main/java/fordridge/constraint/GroupModel.java
+++ b/src/main/java/fordridge/constraint/GroupModel.java
@@ -22,17 +22,21 @@
 import org.chocosolver.solver.variables.IntVar;
 
 /**
- * One constraint model of a group for the Choco solver, under some of its constraints: a variable
- * for each member's machine, derived ones for its cell and zone. Solved at most once.
+ * Model of a group for the Choco solver, under some of its constraints. It has one variable for the
+ * machine of each member, and derived variables for the cell and the zone of that machine. An
+ * instance is solved at most once.
  */
 final class GroupModel {
-  /** Failures of the search before the answer is unknown: a bound independent of the clock. */
+  /**
+   * Maximum number of failures in the search before the result is unknown; a bound that does not
+   * depend on the clock.
+   */
   private static final int MAX_SEARCH_FAILURES = 20_000;
 
-  /** The solver counts in integers: cores and memory in thousandths of their unit. */
+  /** The solver uses integers: cores and memory are counted in thousandths of their unit. */
   private static final int CAPACITY_SCALE = 1000;
 
-  /** Larger capacities are cut to this, in the unit of the request. */
+  /** Larger capacities are reduced to this value, in the unit of the request. */
   private static final double MAX_CAPACITY = 1e6;
 
   private static final int MAX_SCALED_LOAD = Integer.MAX_VALUE / 4;
@@ -47,8 +51,8 @@
   /**
    * Builds the model.
    *
-   * @param constraints those that hold; the problem's others are left out
-   * @param withCapacity whether members must fit into the machines' capacity
+   * @param constraints the constraints to enforce; the problem's other constraints are ignored
+   * @param withCapacity whether the members must fit into the machines' capacity
    */
   GroupModel(
       GroupProblem problem,
@@ -58,7 +62,7 @@
     this.problem = problem;
     this.shouldStop = shouldStop;
     machineOfMember = new IntVar[problem.memberCount()];
-    createMachineVariables(new OpenMachines(problem, constraints, withCapacity));
+    createMachineVariables(new MemberCandidates(problem, constraints, withCapacity));
     if (isTriviallyInfeasible) {
       return;
     }
@@ -71,14 +75,14 @@
     }
   }
 
-  private void createMachineVariables(OpenMachines openMachines) {
+  private void createMachineVariables(MemberCandidates candidates) {
     for (int member = 0; member < machineOfMember.length; member++) {
-      int[] open = openMachines.find(member);
-      if (open.length == 0) {
+      int[] candidateMachines = candidates.find(member);
+      if (candidateMachines.length == 0) {
         isTriviallyInfeasible = true;
         return;
       }
-      machineOfMember[member] = model.intVar("machine" + member, open);
+      machineOfMember[member] = model.intVar("machine" + member, candidateMachines);
     }
   }
 
@@ -92,13 +96,13 @@
     }
   }
 
-  /** The variable for a member's domain of a level. */
+  /** Returns the variable for the domain of a member at a level. */
   private IntVar domainOf(int member, TopologyLevel level) {
     if (level == TopologyLevel.MACHINE) {
       return machineOfMember[member];
     }
     IntVar[] variables =
-        domainOfMember.computeIfAbsent(level, any -> new IntVar[machineOfMember.length]);
+        domainOfMember.computeIfAbsent(level, key -> new IntVar[machineOfMember.length]);
     if (variables[member] == null) {
       int lastDomain = problem.domains(level).size() - 1;
       variables[member] = model.intVar(level.toString() + member, 0, lastDomain);
@@ -112,29 +116,32 @@
   private void postAntiAffinity(Scope scope, AntiAffinity antiAffinity) {
     Scope other = antiAffinity.other();
     TopologyLevel level = antiAffinity.level();
-    List<IntVar> mutuallyApart = new ArrayList<>();
+    List<IntVar> mutuallyExclusiveDomains = new ArrayList<>();
     for (int member = 0; member < machineOfMember.length; member++) {
       if (problem.isCovered(member, scope) && problem.isCovered(member, other)) {
-        mutuallyApart.add(domainOf(member, level));
+        mutuallyExclusiveDomains.add(domainOf(member, level));
       }
     }
-    if (mutuallyApart.size() > 1 && !problem.membersAreClasses()) {
-      model.allDifferent(mutuallyApart.toArray(new IntVar[0])).post();
+    if (mutuallyExclusiveDomains.size() > 1 && !problem.membersRepresentClasses()) {
+      model.allDifferent(mutuallyExclusiveDomains.toArray(new IntVar[0])).post();
     }
     for (int member = 0; member < machineOfMember.length; member++) {
       for (int second = 0; second < machineOfMember.length; second++) {
-        if (member != second && isApartOneWay(scope, other, member, second)) {
+        if (member != second && isOneWayAntiAffinity(scope, other, member, second)) {
           model.arithm(domainOf(member, level), "!=", domainOf(second, level)).post();
         }
       }
     }
   }
 
-  /** Whether the first keeps apart from the second, and not the second from the first as well. */
-  private boolean isApartOneWay(Scope scope, Scope other, int first, int second) {
-    boolean isFirstApart = problem.isCovered(first, scope) && problem.isCovered(second, other);
-    boolean isSecondApart = problem.isCovered(second, scope) && problem.isCovered(first, other);
-    return isFirstApart && !isSecondApart;
+  /**
+   * Whether the anti-affinity applies from the first member to the second, but not from the second
+   * to the first.
+   */
+  private boolean isOneWayAntiAffinity(Scope scope, Scope other, int first, int second) {
+    boolean firstAvoidsSecond = problem.isCovered(first, scope) && problem.isCovered(second, other);
+    boolean secondAvoidsFirst = problem.isCovered(second, scope) && problem.isCovered(first, other);
+    return firstAvoidsSecond && !secondAvoidsFirst;
   }
 
   private void postSpreadLimit(Scope scope, SpreadLimit limit) {
@@ -142,7 +149,7 @@
     for (int member = 0; member < machineOfMember.length; member++) {
       if (problem.isCovered(member, scope)) {
         long service = problem.member(member).vm().service();
-        membersByService.computeIfAbsent(service, any -> new ArrayList<>()).add(member);
+        membersByService.computeIfAbsent(service, key -> new ArrayList<>()).add(member);
       }
     }
     if (limit.perService()) {
@@ -157,59 +164,62 @@
   }
 
   private void postSpreadLimit(SpreadLimit limit, List<Integer> members, CounterKey key) {
-    int most = limit.limitPerScheduler(problem.constraints().schedulerCount());
-    Map<TopologyDomain, Integer> counts = problem.constraints().counts(key);
-    int fullest = counts.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-    if (members.size() <= most - fullest) {
+    int limitPerScheduler = limit.limitPerScheduler(problem.constraints().schedulerCount());
+    Map<PlacementDomain, Integer> counts = problem.constraints().counts(key);
+    int maxCount = counts.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+    if (members.size() <= limitPerScheduler - maxCount) {
       return;
     }
     IntVar[] domains =
         members.stream().map(member -> domainOf(member, limit.level())).toArray(IntVar[]::new);
-    if (most == 1) {
+    if (limitPerScheduler == 1) {
       model.allDifferent(domains).post();
     } else {
-      postDomainCounts(domains, limit.level(), most, counts);
+      postDomainCounts(domains, limit.level(), limitPerScheduler, counts);
     }
   }
 
-  /** Bounds how many of the variables take each domain, by what each holds already. */
+  /** Limits how many of the variables take each domain, given the VMs that already run there. */
   private void postDomainCounts(
-      IntVar[] variables, TopologyLevel level, int most, Map<TopologyDomain, Integer> counts) {
-    List<TopologyDomain> domains = problem.domains(level);
+      IntVar[] variables, TopologyLevel level, int limit, Map<PlacementDomain, Integer> counts) {
+    List<PlacementDomain> domains = problem.domains(level);
     int[] values = new int[domains.size()];
     IntVar[] occurrences = new IntVar[domains.size()];
     for (int domain = 0; domain < values.length; domain++) {
-      int left = most - counts.getOrDefault(domains.get(domain), 0);
+      int remaining = limit - counts.getOrDefault(domains.get(domain), 0);
       values[domain] = domain;
-      occurrences[domain] = model.intVar(0, Math.max(0, Math.min(variables.length, left)));
+      occurrences[domain] = model.intVar(0, Math.max(0, Math.min(variables.length, remaining)));
     }
     model.globalCardinality(variables, values, occurrences, false).post();
   }
 
   private void postAffinity(Scope scope, Affinity affinity) {
-    Set<TopologyDomain> occupied = problem.constraints().domains(affinity);
-    List<TopologyDomain> domains = problem.domains(affinity.level());
-    int[] occupiedNumbers =
+    Set<PlacementDomain> targetDomains = problem.constraints().targetDomains(affinity);
+    List<PlacementDomain> domains = problem.domains(affinity.level());
+    int[] targetDomainNumbers =
         IntStream.range(0, domains.size())
-            .filter(number -> occupied.contains(domains.get(number)))
+            .filter(number -> targetDomains.contains(domains.get(number)))
             .toArray();
-    boolean runsOnlyElsewhere = occupiedNumbers.length == 0 && !occupied.isEmpty();
+    boolean hasUnreachableTargets = targetDomainNumbers.length == 0 && !targetDomains.isEmpty();
     for (int member = 0; member < machineOfMember.length; member++) {
       if (problem.isCovered(member, scope)) {
-        List<Constraint> alternatives = affinityAlternatives(member, affinity, occupiedNumbers);
+        List<Constraint> alternatives = affinityAlternatives(member, affinity, targetDomainNumbers);
         postAnyOf(alternatives);
-        isTriviallyInfeasible |= alternatives.isEmpty() && runsOnlyElsewhere;
+        isTriviallyInfeasible |= alternatives.isEmpty() && hasUnreachableTargets;
       }
     }
   }
 
-  /** The ways in which a member can be near: one that runs already, or each other member. */
+  /**
+   * Returns the ways in which a member can satisfy an affinity: in a domain where a target already
+   * runs, or in the domain of another member that is a target.
+   */
   private List<Constraint> affinityAlternatives(
-      int member, Affinity affinity, int[] occupiedNumbers) {
+      int member, Affinity affinity, int[] targetDomainNumbers) {
     TopologyLevel level = affinity.level();
     List<Constraint> alternatives = new ArrayList<>();
-    if (occupiedNumbers.length > 0) {
-      alternatives.add(model.member(domainOf(member, level), occupiedNumbers));
+    if (targetDomainNumbers.length > 0) {
+      alternatives.add(model.member(domainOf(member, level), targetDomainNumbers));
     }
     for (int second = 0; second < machineOfMember.length; second++) {
       if (second != member && problem.isCovered(second, affinity.other())) {
@@ -227,28 +237,35 @@
     }
   }
 
-  /** No machine takes more of a resource than it has; posted only where that could happen. */
+  /**
+   * Requires that no machine is assigned more of a resource than it has. The constraint is posted
+   * only if that could happen.
+   */
   private void postCapacity(IntToDoubleFunction requested, IntToDoubleFunction available) {
-    int[] sizes = new int[machineOfMember.length];
-    long sum = 0;
-    for (int member = 0; member < sizes.length; member++) {
-      sizes[member] = (int) Math.floor(requested.applyAsDouble(member) * CAPACITY_SCALE);
-      sum += sizes[member];
+    int[] demands = new int[machineOfMember.length];
+    long totalDemand = 0;
+    for (int member = 0; member < demands.length; member++) {
+      demands[member] = (int) Math.floor(requested.applyAsDouble(member) * CAPACITY_SCALE);
+      totalDemand += demands[member];
     }
     IntVar[] loads = new IntVar[problem.machineCount()];
     boolean canExceed = false;
     for (int machine = 0; machine < loads.length; machine++) {
       double capped = Math.min(available.applyAsDouble(machine), MAX_CAPACITY);
-      long most = Math.max(0, (long) Math.ceil(capped * CAPACITY_SCALE));
-      canExceed |= most < sum;
-      loads[machine] = model.intVar(0, (int) Math.min(most, Math.min(sum, MAX_SCALED_LOAD)));
+      long scaledCapacity = Math.max(0, (long) Math.ceil(capped * CAPACITY_SCALE));
+      canExceed |= scaledCapacity < totalDemand;
+      loads[machine] =
+          model.intVar(0, (int) Math.min(scaledCapacity, Math.min(totalDemand, MAX_SCALED_LOAD)));
     }
     if (canExceed) {
-      model.binPacking(machineOfMember, sizes, loads, 0).post();
+      model.binPacking(machineOfMember, demands, loads, 0).post();
     }
   }
 
-  /** Searches for a placement; the reasons of an infeasible one are not looked for. */
+  /**
+   * Searches for a placement. For an infeasible model, the conflicting constraints are not
+   * determined.
+   */
   FeasibilityResult solve() {
     if (isTriviallyInfeasible) {
       return FeasibilityResult.infeasible(List.of(), false);
@@ -264,7 +281,10 @@
         : FeasibilityResult.infeasible(List.of(), false);
   }
 
-  /** Members without an affinity come first: the others look for them. */
+  /**
+   * Returns the solution with members without an affinity first, as members with one need targets
+   * that are already placed.
+   */
   private Map<String, String> solutionInPlacementOrder() {
     Map<String, String> machineByMember = new LinkedHashMap<>();
     for (boolean withAffinity : new boolean[] {false, true}) {
--- a/src/main/java/fordridge/constraint/GroupProblem.java
+++ b/src/main/java/fordridge/constraint/GroupProblem.java
@@ -6,38 +6,39 @@
 import java.util.Map;
 
 /**
- * The question whether the members of a group can run all at once: machines, members and
- * constraints as they were when it was put. Immutable, and so safe to solve on another thread.
- * Machines, members and the domains of each level are numbered from 0.
+ * The problem of running all members of a group at the same time.
+ *
+ * <p>It is an immutable snapshot of machines, members and constraints, which is safe to solve on
+ * another thread. Machines, members and the domains of each level are numbered from 0.
  */
 final class GroupProblem {
   private final List<MachineTopology> machines;
   private final List<MachineCapacity> capacities;
   private final List<GroupMember> members;
   private final GroupConstraints constraints;
-  private final boolean membersAreClasses;
+  private final boolean membersRepresentClasses;
   private final Map<TopologyLevel, int[]> domainByMachine = new EnumMap<>(TopologyLevel.class);
-  private final Map<TopologyLevel, List<TopologyDomain>> domains =
+  private final Map<TopologyLevel, List<PlacementDomain>> domains =
       new EnumMap<>(TopologyLevel.class);
 
   /**
-   * A problem.
+   * Creates a problem.
    *
-   * @param capacities one for each machine, in the machines' order
-   * @param membersAreClasses whether each member stands for a class of VMs, which need not keep
-   *     apart from each other
+   * @param capacities the capacity of each machine, in the order of the machines
+   * @param membersRepresentClasses whether each member represents a class of VMs; an anti-affinity
+   *     then does not apply between two members that its scope and its other scope both cover
    */
   GroupProblem(
       List<MachineTopology> machines,
       List<MachineCapacity> capacities,
       List<GroupMember> members,
       GroupConstraints constraints,
-      boolean membersAreClasses) {
+      boolean membersRepresentClasses) {
     this.machines = List.copyOf(machines);
     this.capacities = List.copyOf(capacities);
     this.members = List.copyOf(members);
     this.constraints = constraints;
-    this.membersAreClasses = membersAreClasses;
+    this.membersRepresentClasses = membersRepresentClasses;
     for (TopologyLevel level : TopologyLevel.values()) {
       numberDomains(level);
     }
@@ -45,10 +46,10 @@
 
   private void numberDomains(TopologyLevel level) {
     int[] numbers = new int[machines.size()];
-    Map<TopologyDomain, Integer> numberByDomain = new LinkedHashMap<>();
+    Map<PlacementDomain, Integer> numberByDomain = new LinkedHashMap<>();
     for (int machine = 0; machine < numbers.length; machine++) {
-      TopologyDomain domain = TopologyDomain.of(machines.get(machine), level);
-      numbers[machine] = numberByDomain.computeIfAbsent(domain, any -> numberByDomain.size());
+      PlacementDomain domain = PlacementDomain.of(machines.get(machine), level);
+      numbers[machine] = numberByDomain.computeIfAbsent(domain, key -> numberByDomain.size());
     }
     domainByMachine.put(level, numbers);
     domains.put(level, List.copyOf(numberByDomain.keySet()));
@@ -62,8 +63,8 @@
     return machines.get(number);
   }
 
-  /** The machine of a name that this problem's solution gave. */
-  MachineTopology machineNamed(String name) {
+  /** Returns the machine with a name that a solution of this problem contains. */
+  MachineTopology machineByName(String name) {
     return machines.stream()
         .filter(machine -> machine.name().equals(name))
         .findFirst()
@@ -90,26 +91,26 @@
     return constraints;
   }
 
-  boolean membersAreClasses() {
-    return membersAreClasses;
+  boolean membersRepresentClasses() {
+    return membersRepresentClasses;
   }
 
   boolean isCovered(int member, PlacementConstraint.Scope scope) {
     return scope.covers(members.get(member).vm());
   }
 
-  /** The domain's number of each machine; not to be changed. */
+  /** Returns the number of the domain of each machine; callers must not modify the array. */
   int[] domainByMachine(TopologyLevel level) {
     return domainByMachine.get(level);
   }
 
-  /** The domains of a level in the order of their numbers. */
-  List<TopologyDomain> domains(TopologyLevel level) {
+  /** Returns the domains of a level, ordered by their numbers. */
+  List<PlacementDomain> domains(TopologyLevel level) {
     return domains.get(level);
   }
 
-  /** The domain that a machine belongs to. */
-  TopologyDomain domainOf(int machine, TopologyLevel level) {
+  /** Returns the domain of a machine at a level. */
+  PlacementDomain domainOf(int machine, TopologyLevel level) {
     return domains.get(level).get(domainByMachine.get(level)[machine]);
   }
 }
--- a/src/main/java/fordridge/constraint/MachineCatalog.java
+++ b/src/main/java/fordridge/constraint/MachineCatalog.java
@@ -12,19 +12,21 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * The machines that were ever listed, each under a dense number that it keeps, with their domains
- * and label matches as bitmaps of these numbers. Bitmaps that are handed out must not be changed.
+ * All machines that were ever listed, with their domains and label matches.
+ *
+ * <p>Each machine has a dense number that it keeps; sets of machines are bitmaps of these numbers.
+ * Callers must not modify returned bitmaps, unless they are documented as new.
  */
 final class MachineCatalog {
-  /** The number of a machine that was never listed. */
-  static final int NOT_LISTED = -1;
+  /** Stands for a machine that was never listed. */
+  static final int UNKNOWN_MACHINE = -1;
 
   private static final RoaringBitmap NO_MACHINES = new RoaringBitmap();
 
   private final Map<String, Integer> numberByName = new LinkedHashMap<>();
   private final List<MachineTopology> machines = new ArrayList<>();
-  private final List<Map<TopologyLevel, TopologyDomain>> domainsByMachine = new ArrayList<>();
-  private final Map<TopologyLevel, Map<TopologyDomain, RoaringBitmap>> machinesByDomain =
+  private final List<Map<TopologyLevel, PlacementDomain>> domainsByMachine = new ArrayList<>();
+  private final Map<TopologyLevel, Map<PlacementDomain, RoaringBitmap>> machinesByDomain =
       new EnumMap<>(TopologyLevel.class);
   private final Map<LabelPredicate, RoaringBitmap> machinesByPredicate = new HashMap<>();
   private final RoaringBitmap listed = new RoaringBitmap();
@@ -33,7 +35,7 @@
 
   MachineCatalog() {}
 
-  /** A copy that changes independently. */
+  /** Creates an independent copy. */
   MachineCatalog(MachineCatalog other) {
     numberByName.putAll(other.numberByName);
     machines.addAll(other.machines);
@@ -42,7 +44,9 @@
     indexDomains();
   }
 
-  /** Replaces the machines that are listed; those that left keep their number and last labels. */
+  /**
+   * Replaces the listed machines; machines that left the list keep their number and last labels.
+   */
   void replaceListed(Collection<MachineTopology> nowListed) {
     listed.clear();
     for (MachineTopology machine : nowListed) {
@@ -65,13 +69,13 @@
     machinesByDomain.clear();
     domainsByMachine.clear();
     for (int number = 0; number < machines.size(); number++) {
-      Map<TopologyLevel, TopologyDomain> domains = new EnumMap<>(TopologyLevel.class);
+      Map<TopologyLevel, PlacementDomain> domains = new EnumMap<>(TopologyLevel.class);
       for (TopologyLevel level : TopologyLevel.values()) {
-        TopologyDomain domain = TopologyDomain.of(machines.get(number), level);
+        PlacementDomain domain = PlacementDomain.of(machines.get(number), level);
         domains.put(level, domain);
         machinesByDomain
-            .computeIfAbsent(level, any -> new HashMap<>())
-            .computeIfAbsent(domain, any -> new RoaringBitmap())
+            .computeIfAbsent(level, key -> new HashMap<>())
+            .computeIfAbsent(domain, key -> new RoaringBitmap())
             .add(number);
       }
       domainsByMachine.add(domains);
@@ -88,14 +92,14 @@
     version++;
   }
 
-  /** Increases with every change. */
+  /** A number that increases with every change. */
   long version() {
     return version;
   }
 
-  /** The machine's number, or {@link #NOT_LISTED}. */
+  /** Returns the number of the machine, or {@link #UNKNOWN_MACHINE}. */
   int numberOf(String name) {
-    return numberByName.getOrDefault(name, NOT_LISTED);
+    return numberByName.getOrDefault(name, UNKNOWN_MACHINE);
   }
 
   MachineTopology machine(int number) {
@@ -103,37 +107,39 @@
   }
 
   boolean isListed(int number) {
-    return number != NOT_LISTED && listed.contains(number);
+    return number != UNKNOWN_MACHINE && listed.contains(number);
   }
 
   boolean isDraining(int number) {
-    return number != NOT_LISTED && draining.contains(number);
+    return number != UNKNOWN_MACHINE && draining.contains(number);
   }
 
   RoaringBitmap listedMachines() {
     return listed;
   }
 
-  /** A new bitmap of the machines that are listed and not draining. */
-  RoaringBitmap openMachines() {
+  /** Returns a new bitmap of the machines that are listed and not draining. */
+  RoaringBitmap schedulableMachines() {
     return RoaringBitmap.andNot(listed, draining);
   }
 
-  TopologyDomain domainOf(int number, TopologyLevel level) {
+  PlacementDomain domainOf(int number, TopologyLevel level) {
     return domainsByMachine.get(number).get(level);
   }
 
-  /** All machines of a domain, also those that left the list. */
-  RoaringBitmap machinesIn(TopologyDomain domain) {
+  /** Returns all machines of a domain, including those that left the list. */
+  RoaringBitmap machinesIn(PlacementDomain domain) {
     return machinesByDomainOf(domain.level()).getOrDefault(domain, NO_MACHINES);
   }
 
-  /** All domains of a level with their machines. */
-  Map<TopologyDomain, RoaringBitmap> machinesByDomainOf(TopologyLevel level) {
+  /** Returns all domains of a level with their machines. */
+  Map<PlacementDomain, RoaringBitmap> machinesByDomainOf(TopologyLevel level) {
     return machinesByDomain.getOrDefault(level, Map.of());
   }
 
-  /** All machines whose labels meet the predicate, also those that left the list. */
+  /**
+   * Returns all machines whose labels satisfy the predicate, including those that left the list.
+   */
   RoaringBitmap machinesMatching(LabelPredicate predicate) {
     return machinesByPredicate.computeIfAbsent(predicate, this::findMatching);
   }
--- a/src/main/java/fordridge/constraint/PlacementAuditor.java
+++ b/src/main/java/fordridge/constraint/PlacementAuditor.java
@@ -1,6 +1,6 @@
 package fordridge.constraint;
 
-import fordridge.constraint.AttemptTracker.TrackedAttempt;
+import fordridge.constraint.PlacementTracker.TrackedAttempt;
 import fordridge.constraint.RejectionReason.Cause;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -9,36 +9,40 @@
 import java.util.OptionalInt;
 
 /**
- * Looks over what runs for VMs that stand against the constraints. Each VM is judged as if it alone
- * were not there. The cost grows with what runs: meant for operators and new sets, not for
- * placements.
+ * Finds running VMs whose placement violates constraints or could be improved.
+ *
+ * <p>Each VM is evaluated as if it alone were not running. The cost grows with the number of
+ * running VMs, so audits serve operators and checks of new constraint sets, not placements.
  */
 final class PlacementAuditor {
   private final MachineCatalog catalog;
-  private final AttemptTracker tracker;
-  private final CandidateFilter filter;
+  private final PlacementTracker tracker;
+  private final VmConstraintCache constraintCache;
   private final RejectionExplainer explainer;
 
   PlacementAuditor(
       MachineCatalog catalog,
-      AttemptTracker tracker,
-      CandidateFilter filter,
+      PlacementTracker tracker,
+      VmConstraintCache constraintCache,
       RejectionExplainer explainer) {
     this.catalog = catalog;
     this.tracker = tracker;
-    this.filter = filter;
+    this.constraintCache = constraintCache;
     this.explainer = explainer;
   }
 
-  /** Attempts where a required constraint, or the machine's absence, speaks against their place. */
+  /**
+   * Returns the attempts whose machine is forbidden by a required constraint or is no longer
+   * listed, each with the reasons.
+   */
   Map<Object, List<RejectionReason>> findViolatingPlacements() {
     Map<Object, List<RejectionReason>> violating = new LinkedHashMap<>();
     tracker
         .attempts()
         .forEach(
             (attempt, tracked) -> {
-              List<RejectionReason> reasons = reasonsAgainstPlace(attempt, tracked);
-              reasons.removeIf(reason -> isNoViolation(reason, tracked.machine()));
+              List<RejectionReason> reasons = explainExcludingItself(attempt, tracked);
+              reasons.removeIf(reason -> isNotViolation(reason, tracked.machine()));
               if (!reasons.isEmpty()) {
                 violating.put(attempt, reasons);
               }
@@ -46,15 +50,16 @@
     return violating;
   }
 
-  /** What runs on a draining machine may stay there, and preferences do not bind. */
-  private boolean isNoViolation(RejectionReason reason, int machine) {
+  /** A VM may stay on a draining machine, and preferences are not binding. */
+  private boolean isNotViolation(RejectionReason reason, int machine) {
     return reason.constraint().isEmpty()
         ? catalog.isDraining(machine)
         : reason.cause() == Cause.PREFERENCE;
   }
 
   /**
-   * At most so many attempts that another open machine would suit better, with one such machine.
+   * Returns at most {@code limit} attempts for which another allowed machine satisfies the
+   * preferences better, each with one such machine.
    */
   Map<Object, List<RejectionReason>> findImprovablePlacements(int limit) {
     Map<Object, List<RejectionReason>> improvable = new LinkedHashMap<>();
@@ -63,7 +68,7 @@
         .forEach(
             (attempt, tracked) -> {
               if (improvable.size() < limit
-                  && filter.applicableConstraints(tracked.vm()).hasPreferences()) {
+                  && constraintCache.applicableConstraints(tracked.vm()).hasPreferences()) {
                 tracker.runWithout(attempt, () -> addIfImprovable(attempt, tracked, improvable));
               }
             });
@@ -81,24 +86,25 @@
     reasons.add(
         RejectionReason.withoutConstraint(
             Cause.BETTER_MACHINE_AVAILABLE,
+            // This text is part of the protocol: it is sent in replies to operators.
             "machine " + catalog.machine(better.getAsInt()).name() + " would do better"));
     improvable.put(attempt, reasons);
   }
 
   private OptionalInt findBetterMachine(TrackedAttempt tracked) {
-    double penalty = filter.preferencePenalty(tracked.vm(), tracked.machine());
+    double penalty = constraintCache.preferencePenalty(tracked.vm(), tracked.machine());
     if (penalty == 0) {
       return OptionalInt.empty();
     }
-    for (int machine : filter.allowedMachines(tracked.vm())) {
-      if (filter.preferencePenalty(tracked.vm(), machine) < penalty) {
+    for (int machine : constraintCache.allowedMachines(tracked.vm())) {
+      if (constraintCache.preferencePenalty(tracked.vm(), machine) < penalty) {
         return OptionalInt.of(machine);
       }
     }
     return OptionalInt.empty();
   }
 
-  private List<RejectionReason> reasonsAgainstPlace(Object attempt, TrackedAttempt tracked) {
+  private List<RejectionReason> explainExcludingItself(Object attempt, TrackedAttempt tracked) {
     List<RejectionReason> reasons = new ArrayList<>();
     tracker.runWithout(attempt, () -> reasons.addAll(explain(tracked)));
     return reasons;
--- a/src/main/java/fordridge/constraint/PlacementCounters.java
+++ b/src/main/java/fordridge/constraint/PlacementCounters.java
@@ -8,16 +8,16 @@
 import java.util.Set;
 
 /**
- * All counters that a constraint set needs. Which counters a VM counts in is found once for each
- * combination of tenant, class and service.
+ * All counters that a constraint set needs. Which counters count a VM is determined once for each
+ * combination of tenant, priority class and service.
  */
 final class PlacementCounters {
-  private record CountersOfVm(List<DomainCounter> all, List<DomainCounter> confirmedOnly) {}
+  private record VmCounters(List<DomainCounter> all, List<DomainCounter> confirmedOnly) {}
 
   private final List<PlacementConstraint> constraints;
   private final MachineCatalog catalog;
   private final Map<CounterKey, DomainCounter> counters = new HashMap<>();
-  private final Map<VmAttributes, CountersOfVm> countersByVm = new HashMap<>();
+  private final Map<VmAttributes, VmCounters> countersByVm = new HashMap<>();
   private long version;
 
   PlacementCounters(List<PlacementConstraint> constraints, MachineCatalog catalog) {
@@ -25,40 +25,43 @@
     this.catalog = catalog;
   }
 
-  /** Forgets all counts. */
+  /** Drops all counts. */
   void clear() {
     counters.clear();
     countersByVm.clear();
     version++;
   }
 
-  /** Adds VMs to, or takes them out of, the counters that count every attempt. */
+  /** Adds VMs to the counters of all attempts; a negative {@code delta} removes them. */
   void add(VmAttributes vm, int machine, int delta) {
     addTo(countersOf(vm).all, machine, delta);
   }
 
-  /** Adds VMs to, or takes them out of, the counters that leave out unknown outcomes. */
+  /**
+   * Adds VMs to the counters that exclude attempts of unknown outcome; a negative {@code delta}
+   * removes them.
+   */
   void addConfirmed(VmAttributes vm, int machine, int delta) {
     addTo(countersOf(vm).confirmedOnly, machine, delta);
   }
 
-  private void addTo(List<DomainCounter> some, int machine, int delta) {
-    some.forEach(counter -> counter.add(machine, delta));
+  private void addTo(List<DomainCounter> targets, int machine, int delta) {
+    targets.forEach(counter -> counter.add(machine, delta));
     version++;
   }
 
-  /** Increases with every change. */
+  /** A number that increases with every change. */
   long version() {
     return version;
   }
 
   DomainCounter counter(CounterKey key) {
-    return counters.computeIfAbsent(key, absent -> new DomainCounter(catalog, absent.level()));
+    return counters.computeIfAbsent(key, newKey -> new DomainCounter(catalog, newKey.level()));
   }
 
   /**
-   * The VMs that an affinity draws to: those that run or were just sent; attempts of unknown
-   * outcome only while there are none of these.
+   * Returns the counter of the targets of an affinity: VMs that run or whose attempt was sent and
+   * is still awaited. Attempts of unknown outcome are targets only while there are no such VMs.
    */
   DomainCounter affinityCounter(PlacementConstraint.Affinity affinity) {
     DomainCounter confirmed = counter(CounterKey.confirmedOnly(affinity.other(), affinity.level()));
@@ -67,11 +70,11 @@
         : confirmed;
   }
 
-  private CountersOfVm countersOf(VmAttributes vm) {
+  private VmCounters countersOf(VmAttributes vm) {
     return countersByVm.computeIfAbsent(vm, this::findCounters);
   }
 
-  private CountersOfVm findCounters(VmAttributes vm) {
+  private VmCounters findCounters(VmAttributes vm) {
     Set<DomainCounter> all = new LinkedHashSet<>();
     Set<DomainCounter> confirmedOnly = new LinkedHashSet<>();
     for (PlacementConstraint constraint : constraints) {
@@ -81,6 +84,6 @@
         }
       }
     }
-    return new CountersOfVm(new ArrayList<>(all), new ArrayList<>(confirmedOnly));
+    return new VmCounters(new ArrayList<>(all), new ArrayList<>(confirmedOnly));
   }
 }
--- a/src/main/java/fordridge/emulator/invariant/ConstraintInvariant.java
+++ b/src/main/java/fordridge/emulator/invariant/ConstraintInvariant.java
@@ -41,9 +41,9 @@
             attempt.priorityClass,
             attempt.service);
     placements.put(attempt, placement);
-    findings.increment(Figure.OFFERS_CHECKED_AGAINST_CONSTRAINTS);
+    findings.increment(Statistic.OFFERS_CHECKED_AGAINST_CONSTRAINTS);
     checker
-        .offered(attempt.scheduler, placement, attempt.offeredAtUs)
+        .checkOffer(attempt.scheduler, placement, attempt.offeredAtUs)
         .ifPresent(
             violated ->
                 findings.addViolation(
--- a/src/main/java/fordridge/settings/SchedulerSettingsMapper.java
+++ b/src/main/java/fordridge/settings/SchedulerSettingsMapper.java
@@ -7,22 +7,22 @@
 import fordridge.model.SchedulerSettings.DiscoveryMode;
 import fordridge.model.SchedulerSettings.LoadReportBasis;
 import fordridge.model.SchedulerSettings.LoadReportMode;
-import fordridge.model.TopologyDomain;
+import fordridge.model.TopologyScope;
 import java.time.Duration;
 import java.time.temporal.ChronoUnit;
 import java.util.List;
 
-/** Turns the settings of a deployment into those that the scheduler decides by. */
+/** Converts the settings of a deployment to the settings of the scheduling algorithm. */
 public final class SchedulerSettingsMapper {
-  /** What all VMs belong to where no tenants are configured. */
+  /** The tenant of all VMs if no tenants are configured. */
   private static final String NO_TENANT = "";
 
   private SchedulerSettingsMapper() {}
 
   /**
-   * The settings of one scheduler of a deployment.
+   * Returns the settings of one scheduler of a deployment.
    *
-   * @param position the scheduler's place among all of the cluster, from 0
+   * @param position index of the scheduler among all schedulers of the cluster, from 0
    */
   public static SchedulerSettings of(DeploymentSettings deployment, int position) {
     ClusterSettings cluster = deployment.cluster();
@@ -35,9 +35,10 @@
             .map(SchedulerSettingsMapper::priorityClass)
             .toList(),
         tenants(deployment),
-        wholeMicros(cluster.unknownOutcomeRetryAfter()),
+        truncateToMicros(cluster.detectionTimeout()),
         capacity(cluster),
-        new SchedulerSettings.Discovery(discoveryMode(cluster), wholeMicros(cluster.maxListAge())),
+        new SchedulerSettings.Discovery(
+            discoveryMode(cluster), truncateToMicros(cluster.maxListAge())),
         new SchedulerSettings.Attempts(
             cluster.maxAttempts(), cluster.sendsRetryAfter(), acceptanceMode(cluster)),
         slowStart(cluster.slowStart()),
@@ -52,11 +53,11 @@
         settings.priority(),
         retrySafety(settings.retrySafety()),
         idempotencyScope(settings.deduplicationScope()),
-        wholeMicros(settings.deduplicationWindow()),
-        wholeMicros(settings.startLatencyObjective()),
-        wholeMicros(settings.startDeadline()),
+        truncateToMicros(settings.deduplicationWindow()),
+        truncateToMicros(settings.startLatencyObjective()),
+        truncateToMicros(settings.startDeadline()),
         settings.requiredKind().isEmpty() ? null : settings.requiredKind(),
-        spreadDomain(settings.spreadScope()),
+        spreadScope(settings.spreadScope()),
         settings.maxPerSpreadScope(),
         settings.fullSpeedUtilization(),
         settings.degradationSpan(),
@@ -71,20 +72,20 @@
     };
   }
 
-  private static TopologyDomain idempotencyScope(PriorityClassSettings.DeduplicationScope scope) {
+  private static TopologyScope idempotencyScope(PriorityClassSettings.DeduplicationScope scope) {
     return switch (scope) {
-      case CELL -> TopologyDomain.CELL;
-      case ZONE -> TopologyDomain.ZONE;
-      case ALL -> TopologyDomain.CLUSTER;
+      case CELL -> TopologyScope.CELL;
+      case ZONE -> TopologyScope.ZONE;
+      case ALL -> TopologyScope.CLUSTER;
     };
   }
 
-  private static TopologyDomain spreadDomain(PriorityClassSettings.SpreadScope scope) {
+  private static TopologyScope spreadScope(PriorityClassSettings.SpreadScope scope) {
     return switch (scope) {
-      case OFF -> TopologyDomain.NONE;
-      case MACHINE -> TopologyDomain.MACHINE;
-      case CELL -> TopologyDomain.CELL;
-      case ZONE -> TopologyDomain.ZONE;
+      case OFF -> TopologyScope.NONE;
+      case MACHINE -> TopologyScope.MACHINE;
+      case CELL -> TopologyScope.CELL;
+      case ZONE -> TopologyScope.ZONE;
     };
   }
 
@@ -94,8 +95,8 @@
         : deployment.tenants().stream().map(TenantShare::name).toList();
   }
 
-  private static SchedulerSettings.Capacity capacity(ClusterSettings cluster) {
-    return new SchedulerSettings.Capacity(
+  private static SchedulerSettings.CapacitySettings capacity(ClusterSettings cluster) {
+    return new SchedulerSettings.CapacitySettings(
         cluster.coreOvercommitRatio(),
         cluster.memoryOvercommitRatio(),
         cluster.isFreeCapacityListed(),
@@ -114,10 +115,10 @@
     return cluster.confirmsOnAcceptance() ? AcceptanceMode.ADMITTED : AcceptanceMode.RUNNING;
   }
 
-  private static SchedulerSettings.SlowStart slowStart(SlowStartSettings settings) {
-    return new SchedulerSettings.SlowStart(
-        wholeMicros(settings.warmUpTime()),
-        wholeMicros(settings.overloadWindow()),
+  private static SchedulerSettings.SlowStartSettings slowStart(SlowStartSettings settings) {
+    return new SchedulerSettings.SlowStartSettings(
+        truncateToMicros(settings.warmUpTime()),
+        truncateToMicros(settings.overloadWindow()),
         settings.initialStartRate(),
         settings.minOffersInWindow());
   }
@@ -134,8 +135,10 @@
     return new SchedulerSettings.Prices(prices.machines(), prices.otherZone(), prices.gossip());
   }
 
-  /** The scheduler counts in microseconds, as its other sources of settings do. */
-  private static Duration wholeMicros(Duration duration) {
+  /**
+   * Truncates to microseconds, the resolution that the scheduler's other sources of settings use.
+   */
+  private static Duration truncateToMicros(Duration duration) {
     return duration.truncatedTo(ChronoUnit.MICROS);
   }
 }
--- a/src/test/java/fordridge/etcd/JetcdTest.java
+++ b/src/test/java/fordridge/etcd/JetcdTest.java
@@ -28,7 +28,7 @@
 import org.awaitility.Awaitility;
 import org.awaitility.core.ConditionFactory;
 
-/** The emulated etcd serves jetcd, a client that is developed elsewhere, as etcd does. */
+/** Tests the emulated etcd with jetcd, an independent client, for compatibility with etcd. */
 class JetcdTest {
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
   private static final String PREFIX = "a/";
@@ -96,7 +96,7 @@
       KV store = client.getKVClient();
       List<String> events = new CopyOnWriteArrayList<>();
       Watch.Watcher watcher = watch(client, events);
-      await().until(() -> etcd.watchers() == 1);
+      await().until(() -> etcd.watchCount() == 1);
       for (int i = 0; i < 5; i++) {
         get(store.put(bytes(PREFIX + i), bytes("v" + i)));
       }
@@ -143,7 +143,7 @@
       for (int i = 0; i < 5; i++) {
         get(client.getKVClient().put(bytes(PREFIX + i), bytes("v" + i)));
       }
-      etcd.compactNow();
+      etcd.compactToLatestRevision();
       List<Throwable> errors = new CopyOnWriteArrayList<>();
       Watch.Watcher watcher =
           client
